--- a/tests/test_departures.py
+++ b/tests/test_departures.py
@@ -23,25 +23,25 @@
     balancer, _ = make()
     balancer.buckets[0].rate = 1 / SECOND
     for _ in range(8):
-        balancer._press(10, True, balancer.workers[1])
-    assert balancer.tight_until > 10 and balancer.buckets[0].tokens <= balancer.largest
+        balancer._record_start(10, True, balancer.workers[1])
+    assert balancer.saturated_until > 10 and balancer.buckets[0].tokens <= balancer.largest_job
 
 
 def test_late_starts_in_a_fleet_with_room_do_not_open_the_window() -> None:
     balancer, _ = make()
     balancer.crowd = 0.1
     for _ in range(5):
-        balancer._press(10, True, balancer.workers[1])
-    assert 0.25 < balancer.pressure < 0.5 and balancer.tight_until == 0
+        balancer._record_start(10, True, balancer.workers[1])
+    assert 0.25 < balancer.pressure < 0.5 and balancer.saturated_until == 0
     for _ in range(8):
-        balancer._press(10, True, balancer.workers[1])
-    assert balancer.tight_until > 0, "most starts late: full whatever stale reports show"
+        balancer._record_start(10, True, balancer.workers[1])
+    assert balancer.saturated_until > 0, "most starts late: full whatever stale reports show"
 
 
 def test_in_the_window_a_second_full_is_refused() -> None:
     balancer, recorder = make()
     balancer.request(0, "a", 0, SECOND)
-    balancer.tight_until = SECOND
+    balancer.saturated_until = SECOND
     balancer.answer(5, "a", 0, "full", 5, False, None)
     assert len(recorder.sent_to("a")) == 2
     balancer.answer(9, "a", 1, "full", 4, False, None)
@@ -55,7 +55,7 @@
     assert len(probed) == 2
     for worker in probed:
         balancer.probed(1, worker, True, {"free_slots": 3.0})
-    assert balancer.fleet.most_free == {0: 3.0} and balancer.reports == 2
+    assert balancer.fleet.most_free == {0: 3.0} and balancer.report_count == 2
 
 
 def test_no_probe_where_forbidden() -> None:
@@ -107,12 +107,12 @@
     balancer, recorder = make(may_tell=True, schedulers=3)
     balancer.fleet.rate, balancer.pressure = 30 / SECOND, 1.0
     run_until(balancer, recorder, 0, 2 * SECOND)
-    assert balancer.schedulers == 3
+    assert balancer.live_schedulers == 3
     balancer.heard(2 * SECOND, 1, b"\0")
     run_until(balancer, recorder, 2 * SECOND, 4 * SECOND)
-    assert balancer.schedulers == 2
+    assert balancer.live_schedulers == 2
     run_until(balancer, recorder, 4 * SECOND, 8 * SECOND)
-    assert balancer.schedulers == 1
+    assert balancer.live_schedulers == 1
 
 
 def test_own_zone_first_only_while_reports_show_room() -> None:
@@ -133,9 +133,9 @@
     balancer.request(0, "a", 3, 3 * SECOND)
     worker = recorder.sent_to("a")[0]
     run_until(balancer, recorder, 0, 90 * MS)
-    assert balancer.workers[worker].shut_until and len(balancer.everyone.items) == 9
+    assert balancer.workers[worker].shut_until and len(balancer.ready_workers.items) == 9
     balancer.note(95 * MS, "a", 0, 1, 0.0)
-    assert len(balancer.everyone.items) == 10 and balancer.workers[worker].trust < 1.0
+    assert len(balancer.ready_workers.items) == 10 and balancer.workers[worker].trust < 1.0
 
 
 def test_list_emptied_then_back_serves_again() -> None:
@@ -171,13 +171,13 @@
     one, two = balancer.workers.values()
     for peer, jobs in ((1, 1), (2, 2), (1, 3), (1, 3)):
         balancer.heard(0, peer, word(one, jobs))
-    assert balancer._busy(0, one) == (5, False) and balancer._busy(0, two) == (0, False)
+    assert balancer._known_load(0, one) == (5, False) and balancer._known_load(0, two) == (0, False)
     balancer.heard(0, 2, word(one, 0))
     balancer.heard(0, 3, word(two, 0, ill=True))
-    assert balancer._busy(0, one) == (3, False) and balancer._busy(0, two) == (0, True)
+    assert balancer._known_load(0, one) == (3, False) and balancer._known_load(0, two) == (0, True)
     run_until(balancer, recorder, 0, 5 * SECOND)  # peer 1 was killed: its last words must not stand for good
-    assert balancer._busy(5 * SECOND, one) == (0, False)
-    assert not balancer.words and not balancer.elsewhere
+    assert balancer._known_load(5 * SECOND, one) == (0, False)
+    assert not balancer.peer_loads and not balancer.peer_inflight
 
 
 def test_who_cannot_connect_tells_the_others() -> None:
@@ -205,7 +205,7 @@
     for _, data, _to in recorder.named("tell"):
         assert data[0] == 1 and len(data) % 3 == 1 and len(data) <= 256
         other.heard(1, 1, data)
-    busy = {w for w, worker in other.workers.items() if other._busy(1, worker)[0]}
+    busy = {w for w, worker in other.workers.items() if other._known_load(1, worker)[0]}
     assert busy == {d[2] for d in recorder.named("send")}
 
 
--- a/tests/test_gone.py
+++ b/tests/test_gone.py
@@ -142,7 +142,7 @@
         # Deadlines come up before sockets are read: who has closed was sent another attempt.
         for reset in (False, True):
             with self.subTest(reset=reset):
-                self.start_held("violetsaddle.policy:Balancer._again", servers=3)
+                self.start_held("violetsaddle.policy:Balancer._retry_held", servers=3)
                 met: set[str] = set()
                 while len(met) < 3:  # until each has a kept connection: on one a job leaves at once
                     for n in range(3):
@@ -153,7 +153,7 @@
                         self.play(f"of-{job} call+ {job} done result=x\nk{n} expect 200")
                 time.sleep(1.1)  # no answer of these is to be feared any more, second or late
                 self.play("c send job a quote" + "\ns expect X-Txn: a\ns send 503 | X-Turned-Away: 1" * 2)
-                stopped = self.at("violetsaddle.policy:Balancer._again")
+                stopped = self.at("violetsaddle.policy:Balancer._retry_held")
                 leave(self.line("c"), reset)
                 self.go(stopped)
                 self.play("c2 send job b settle\ns expect POST /api | X-Txn: b")
--- a/tests/test_large_tier.py
+++ b/tests/test_large_tier.py
@@ -63,9 +63,9 @@
         for me in range(1, 60):
             mesh.job(me)
         mesh.run((second + 1) * SECOND)
-    assert {s.balancer.schedulers for s in mesh.seats} == {60}
+    assert {s.balancer.live_schedulers for s in mesh.seats} == {60}
     mesh.job(0)
-    assert mesh.sent[-1][1] == 0 and mesh.seats[0].balancer.workers[mesh.sent[-1][3]].near
+    assert mesh.sent[-1][1] == 0 and mesh.seats[0].balancer.workers[mesh.sent[-1][3]].tracked
 
 
 def test_one_with_ten_times_the_traffic_spreads_it_over_all_it_hears_of() -> None:
@@ -78,7 +78,7 @@
         mesh.run(mesh.now + SECOND // 50)  # 15 in flight
         seat.balancer.crowd = min(seat.balancer.crowd, 0.4)
     sent = [worker for _, me, _, worker in mesh.sent if me == 7]
-    near = {w.id for w in seat.balancer.near.items}
+    near = {w.id for w in seat.balancer.tracked.items}
     assert not mesh.refused and near <= set(sent)
     assert max(sent.count(worker) for worker in near) < 4 * len(sent) / len(near)
 
@@ -89,7 +89,7 @@
     heard = [s.balancer for s in mesh.seats]
 
     def counted_by(some: range) -> float:
-        return sum(heard[n].schedulers for n in some) / len(some)
+        return sum(heard[n].live_schedulers for n in some) / len(some)
 
     mesh.lost = lambda origin, to: origin % 2 == 1  # half seem gone: slices double, and no more than that
     mesh.run(10 * SECOND)
--- a/tests/test_memory.py
+++ b/tests/test_memory.py
@@ -74,14 +74,17 @@
 def state(balancer: Balancer) -> dict[str, Any]:
     """All numbers that a memory may move."""
     fleet = balancer.fleet
-    found = {name: getattr(fleet if name in memory.OF_FLEET else balancer, name) for name in memory.VALUES}
+    found = {
+        name: getattr(fleet if name in memory.OF_FLEET else balancer, memory.attribute(name))
+        for name in memory.VALUES
+    }
     found |= {
         f"{w.id}.{name}": getattr(w, name)
         for w in balancer.workers.values()
-        for name in ("speed", "errors", "ill_until", "strikes", "shut_until", "trust", "life")
+        for name in ("speed", "errors", "unhealthy_until", "strikes", "shut_until", "trust", "life")
     }
     found |= {f"bucket{n}": b.tokens for n, b in enumerate(balancer.buckets)}
-    return {**found, "retries": balancer.retries}
+    return {**found, "retries": balancer.retry_budget}
 
 
 class Memories(unittest.TestCase):
@@ -99,7 +102,7 @@
         self.assertEqual(fresh.fleet.most_free, self.old.fleet.most_free)
         self.assertGreater(fresh.workers[crc32(b"s-0")].errors, 0.1)
         ill, was = fresh.workers[crc32(b"s-0")], self.old.workers[crc32(b"s-0")]
-        self.assertEqual(max(0, ill.ill_until - 20 * SECOND), max(0, was.ill_until - 11 * SECOND))
+        self.assertEqual(max(0, ill.unhealthy_until - 20 * SECOND), max(0, was.unhealthy_until - 11 * SECOND))
         self.assertLessEqual(fresh.buckets[0].tokens, fresh.buckets[0].burst)
 
     def test_a_box_that_is_shut_out_stays_so_and_comes_back(self) -> None:
@@ -109,9 +112,9 @@
         believe(balancer, Memory(UNIX, boxes={name: box for name in NAMES}), 0, UNIX + SECOND)
         out = [w for w in balancer.workers.values() if w.shut_until]
         self.assertEqual((len(out), balancer.shut), (1, 1))  # three tenths of six at most
-        self.assertEqual(len(balancer.everyone.items), 5)
+        self.assertEqual(len(balancer.ready_workers.items), 5)
         run_until(balancer, recorder, 0, 2 * SECOND + MS)
-        self.assertEqual((len(balancer.everyone.items), balancer.shut), (6, 0))
+        self.assertEqual((len(balancer.ready_workers.items), balancer.shut), (6, 0))
 
     def test_only_boxes_that_the_list_names_with_the_same_start(self) -> None:
         now = 20 * SECOND
@@ -176,7 +179,7 @@
         for age in range(0, 61, 3):
             fresh = node(0)
             believe(fresh, Memory(UNIX, values={"pressure": 0.9, "pace": 0.4}), 0, UNIX + age * SECOND)
-            far.append((fresh.pressure, 1.0 - fresh.fleet.pace))
+            far.append((fresh.pressure, 1.0 - fresh.fleet.correction))
         self.assertEqual(far, sorted(far, reverse=True))
         self.assertEqual((far[0][0], far[-1]), (0.9, (0.0, 0.0)))
 
--- a/tests/test_node.py
+++ b/tests/test_node.py
@@ -11,7 +11,7 @@
 from zlib import crc32
 
 from tests.scenario import SETTINGS, Line, Scenario, address, listener
-from violetsaddle.state import mix
+from violetsaddle.state import stable_hash
 
 TWO_TRIES = {"permissions": {**SETTINGS["permissions"], "mostTries": 2}}
 PROBING = {
@@ -152,7 +152,7 @@
     def test_what_another_node_tells_counts_as_load(self) -> None:
         # Own jobs alone once counted: a real server looked idle while other nodes filled it.
         self.start({**PROBING, "siblings": 2, "permissions": {**PROBING["permissions"], "mayTell": True}})
-        one, two = ((mix(crc32(name), 2) & 0x7FF) << 5 for name in (b"s-1", b"s-2"))
+        one, two = ((stable_hash(crc32(name), 2) & 0x7FF) << 5 for name in (b"s-1", b"s-2"))
         self.play(f"""
             c send job a quote
             s expect ~GET /metrics/load
--- a/tests/test_reconfigure.py
+++ b/tests/test_reconfigure.py
@@ -15,7 +15,7 @@
 from violetsaddle import Balancer, Entry, RequestClass, Settings, Tenant
 from violetsaddle import interface as api
 from violetsaddle.interface import CHANGEABLE, KEYED, UNSAFE, SettingsError
-from violetsaddle.policy import PATIENCE
+from violetsaddle.policy import LATE_START_SHARE
 
 TENANTS = (Tenant(0.5), Tenant(0.3), Tenant(0.2))
 
@@ -27,7 +27,7 @@
     def setUp(self) -> None:
         self.balancer, self.recorder = make(tenants=TENANTS, schedulers=4, report=frozenset({"free_slots"}))
         self.balancer.fleet.rate = 400 / SECOND  # slots a microsecond
-        self.balancer.reconfigure(0, self.balancer.told)
+        self.balancer.reconfigure(0, self.balancer.settings)
 
     def rates(self) -> list[float]:
         return [round((bucket.rate or 0.0) * SECOND, 9) for bucket in self.balancer.buckets]
@@ -37,13 +37,17 @@
         self.assertEqual(self.rates(), [50.0, 30.0, 20.0])
         for bucket in balancer.buckets:
             bucket.tokens, bucket.burst = 0.0, 1000.0
-        balancer.reconfigure(SECOND, replace(balancer.told, tenants=(Tenant(0.1), Tenant(0.1), Tenant(0.8))))
+        balancer.reconfigure(
+            SECOND, replace(balancer.settings, tenants=(Tenant(0.1), Tenant(0.1), Tenant(0.8)))
+        )
         self.assertEqual([round(b.tokens, 9) for b in balancer.buckets], [50.0, 30.0, 20.0])
         self.assertEqual(self.rates(), [10.0, 10.0, 80.0])
         for bucket in balancer.buckets:
             bucket.fill(2 * SECOND)
         self.assertEqual([round(b.tokens, 9) for b in balancer.buckets], [60.0, 40.0, 100.0])
-        balancer.reconfigure(2 * SECOND, replace(balancer.told, tenants=(Tenant(0), Tenant(1), Tenant(1))))
+        balancer.reconfigure(
+            2 * SECOND, replace(balancer.settings, tenants=(Tenant(0), Tenant(1), Tenant(1)))
+        )
         self.assertEqual(self.rates(), [0.0, 50.0, 50.0])
         for bucket in balancer.buckets:
             bucket.fill(3 * SECOND)
@@ -59,41 +63,41 @@
             due = [a + (b.rate or 0.0) * span for a, b in zip(due, balancer.buckets)]
             now += span
             shares = (Tenant(n % 5), Tenant(1 + n % 3), Tenant(n % 7))
-            balancer.reconfigure(now, replace(balancer.told, tenants=shares))
+            balancer.reconfigure(now, replace(balancer.settings, tenants=shares))
         for wanted, bucket in zip(due, balancer.buckets):
             self.assertAlmostEqual(bucket.tokens, wanted, places=6)
 
     def test_a_debt_and_a_burst_stay(self) -> None:
         balancer = self.balancer
         balancer.buckets[0].tokens, balancer.buckets[1].tokens = -3.0, 8.0
-        balancer.reconfigure(0, replace(balancer.told, tenants=(Tenant(1), Tenant(2), Tenant(1))))
+        balancer.reconfigure(0, replace(balancer.settings, tenants=(Tenant(1), Tenant(2), Tenant(1))))
         self.assertEqual([b.tokens for b in balancer.buckets[:2]], [-3.0, 8.0])
         balancer.buckets[1].fill(10 * SECOND)
         self.assertEqual(balancer.buckets[1].tokens, balancer.buckets[1].burst)
 
     def test_before_the_first_estimate_they_stay_free(self) -> None:
         balancer, _ = make(tenants=TENANTS)
-        balancer.reconfigure(SECOND, replace(balancer.told, tenants=(Tenant(1), Tenant(0), Tenant(0))))
+        balancer.reconfigure(SECOND, replace(balancer.settings, tenants=(Tenant(1), Tenant(0), Tenant(0))))
         self.assertEqual([b.rate for b in balancer.buckets], [None] * 3)
         balancer.fleet.rate = 10 / SECOND
-        balancer.reconfigure(SECOND, balancer.told)
+        balancer.reconfigure(SECOND, balancer.settings)
         self.assertEqual(balancer.buckets[0].rate, 10 / SECOND)
         self.assertEqual(balancer.buckets[1].rate, 0.0)
 
     def test_the_next_tick_goes_on_with_the_new_shares(self) -> None:
         balancer = self.balancer
-        balancer.reconfigure(0, replace(balancer.told, tenants=(Tenant(0), Tenant(0), Tenant(5))))
+        balancer.reconfigure(0, replace(balancer.settings, tenants=(Tenant(0), Tenant(0), Tenant(5))))
         now = run_until(balancer, self.recorder, 0, 3 * SECOND)
         self.assertEqual(now, 3 * SECOND)
         self.assertEqual(self.rates()[:2], [0.0, 0.0])
-        self.assertAlmostEqual(self.rates()[2], 400 / balancer.schedulers)
+        self.assertAlmostEqual(self.rates()[2], 400 / balancer.live_schedulers)
 
     def test_a_tenant_is_admitted_by_its_new_share(self) -> None:
         balancer, recorder = self.balancer, self.recorder
-        balancer.tight_until = 100 * SECOND
+        balancer.saturated_until = 100 * SECOND
         for bucket in balancer.buckets:
             bucket.tokens = 0.0
-        balancer.reconfigure(0, replace(balancer.told, tenants=(Tenant(0), Tenant(1), Tenant(0))))
+        balancer.reconfigure(0, replace(balancer.settings, tenants=(Tenant(0), Tenant(1), Tenant(0))))
         balancer.request(SECOND, "a", 0, SECOND, tenant=0)
         balancer.request(SECOND, "b", 0, SECOND, tenant=1)
         self.assertEqual(recorder.sent_to("a"), [])
@@ -120,12 +124,12 @@
         for before, after in ((4, 1), (1, 4), (2, 3)):
             with self.subTest(before=before, after=after):
                 balancer, recorder = make(workers=20, most_attempts=before)
-                balancer.retries = 100.0
+                balancer.retry_budget = 100.0
                 balancer.request(0, "old", 0, 60 * SECOND)
-                balancer.reconfigure(1, replace(balancer.told, most_attempts=after))
+                balancer.reconfigure(1, replace(balancer.settings, most_attempts=after))
                 balancer.request(2, "new", 0, 60 * SECOND)
                 self.assertEqual(self.attempts(balancer, recorder, "old", 2), before)
-                balancer.retries = 100.0
+                balancer.retry_budget = 100.0
                 self.assertEqual(self.attempts(balancer, recorder, "new", 2), after)
                 self.assertEqual(sorted(j for _, j, _ in recorder.named("refuse")), ["new", "old"])
 
@@ -133,10 +137,10 @@
         told = (replace(CLASSES[0], aim=400 * MS), *CLASSES[1:])
         balancer, recorder = make(tells_start=True, may_cancel=False)
         balancer.request(0, "old", 0, SECOND)
-        balancer.reconfigure(0, replace(balancer.told, classes=told))
+        balancer.reconfigure(0, replace(balancer.settings, classes=told))
         balancer.request(0, "new", 0, SECOND)
-        self.assertEqual(balancer.requests["old"].patience, int(PATIENCE * 200 * MS))
-        self.assertEqual(balancer.requests["new"].patience, int(PATIENCE * 400 * MS))
+        self.assertEqual(balancer.requests["old"].start_limit, int(LATE_START_SHARE * 200 * MS))
+        self.assertEqual(balancer.requests["new"].start_limit, int(LATE_START_SHARE * 400 * MS))
         run_until(balancer, recorder, 0, 100 * MS)
         self.assertTrue(balancer.requests["old"].attempts[0].late)
         self.assertFalse(balancer.requests["new"].attempts[0].late)
@@ -148,7 +152,7 @@
             with self.subTest(before=before):
                 balancer, recorder = make(may_cancel=before)
                 balancer.request(0, "old", 0, SECOND)
-                balancer.reconfigure(1, replace(balancer.told, may_cancel=not before))
+                balancer.reconfigure(1, replace(balancer.settings, may_cancel=not before))
                 balancer.request(2, "new", 0, SECOND)
                 for job in ("old", "new"):
                     balancer.gone(3, job)
@@ -159,14 +163,14 @@
             with self.subTest(before=before):
                 balancer, recorder = make(may_cancel=before, tells_start=True)
                 balancer.request(0, "old", 0, 4 * SECOND)
-                balancer.reconfigure(0, replace(balancer.told, may_cancel=not before))
+                balancer.reconfigure(0, replace(balancer.settings, may_cancel=not before))
                 run_until(balancer, recorder, 0, 2 * SECOND)
                 self.assertEqual(bool(recorder.named("cancel")), before)
 
     def test_advice_of_a_refusal(self) -> None:
         balancer, recorder = make(workers=0, most_advice=2_000_000)
         balancer.request(0, "old", 0, 300 * MS)
-        balancer.reconfigure(0, replace(balancer.told, may_advise=False))
+        balancer.reconfigure(0, replace(balancer.settings, may_advise=False))
         balancer.request(0, "new", 0, 300 * MS)
         run_until(balancer, recorder, 0, SECOND)
         advice = {job: wait for _, job, wait in recorder.named("refuse")}
@@ -178,13 +182,13 @@
         balancer.request(0, "a", 0, SECOND)
         asked = len(recorder.named("probe"))
         self.assertGreater(asked, 0)
-        balancer.reconfigure(1, replace(balancer.told, may_probe=False))
+        balancer.reconfigure(1, replace(balancer.settings, may_probe=False))
         balancer.probed(2, recorder.named("probe")[0][1], True, {"free_slots": 3.0})  # was out
-        self.assertEqual(balancer.reports, 1)
+        self.assertEqual(balancer.report_count, 1)
         for n in range(20):
             balancer.request(3, f"b{n}", 0, SECOND)
         self.assertEqual(len(recorder.named("probe")), asked)
-        balancer.reconfigure(4, replace(balancer.told, may_probe=True))
+        balancer.reconfigure(4, replace(balancer.settings, may_probe=True))
         balancer.request(5, "c", 0, SECOND)
         self.assertGreater(len(recorder.named("probe")), asked)
 
@@ -193,17 +197,18 @@
         unsafe = 3
         self.assertEqual(CLASSES[unsafe].effect, UNSAFE)
         balancer, recorder = make(workers=20, most_attempts=1, may_cancel=False, tells_start=True)
-        balancer.retries = 100.0
+        balancer.retry_budget = 100.0
         jobs = [f"j{n}" for n in range(30)]
         for n, job in enumerate(jobs):
             balancer.request(n, job, unsafe, 8 * SECOND)
             balancer.reconfigure(
-                n, replace(balancer.told, most_attempts=1 + n % 5, may_cancel=n % 2 > 0, second_copies=True)
+                n,
+                replace(balancer.settings, most_attempts=1 + n % 5, may_cancel=n % 2 > 0, second_copies=True),
             )
         run_until(balancer, recorder, 30, SECOND)
         for job in jobs:
             balancer.answer(SECOND, job, 0, "reset", SECOND, False, None)
-            balancer.reconfigure(SECOND, replace(balancer.told, most_attempts=9, may_cancel=True))
+            balancer.reconfigure(SECOND, replace(balancer.settings, most_attempts=9, may_cancel=True))
         run_until(balancer, recorder, SECOND, 9 * SECOND)
         for job in jobs:
             self.assertEqual(len(recorder.sent_to(job)), 1)
@@ -213,9 +218,9 @@
         keyed = 1
         self.assertEqual((CLASSES[keyed].effect, CLASSES[keyed].group), (KEYED, "cell"))
         balancer, recorder = make(workers=12, cells=3, most_attempts=2)
-        balancer.retries = 100.0
+        balancer.retry_budget = 100.0
         balancer.request(0, "a", keyed, 8 * SECOND)
-        balancer.reconfigure(1, replace(balancer.told, most_attempts=6))
+        balancer.reconfigure(1, replace(balancer.settings, most_attempts=6))
         balancer.answer(2, "a", 0, "reset", 1, False, None)
         run_until(balancer, recorder, 2, SECOND)
         first, second = recorder.sent_to("a")
@@ -229,7 +234,7 @@
 class Unfit(unittest.TestCase):
     def test_what_is_fixed_is_refused_and_nothing_changes(self) -> None:
         balancer, _ = make(tenants=TENANTS)
-        told, shares = balancer.told, list(balancer.shares)
+        told, shares = balancer.settings, list(balancer.shares)
         classes = told.classes
         other: dict[str, Any] = {
             "report": frozenset({"x"}),
@@ -261,13 +266,13 @@
                 balancer.reconfigure(1, replace(told, classes=bad, tenants=(Tenant(9), Tenant(1), Tenant(1))))
         with self.assertRaisesRegex(SettingsError, "tenants"):
             balancer.reconfigure(1, replace(told, tenants=TENANTS[:2]))
-        self.assertIs(balancer.told, told)
+        self.assertIs(balancer.settings, told)
         self.assertEqual(balancer.shares, shares)
 
     def test_requests_taken_later_have_the_new_class(self) -> None:
         balancer = Balancer(Settings(classes=(RequestClass(100, 1000),)), 1, 0, Recorder())
         balancer.members(0, "disk", [Entry(1)])
-        balancer.reconfigure(0, replace(balancer.told, classes=(RequestClass(200, 1000, stretch=2.0),)))
+        balancer.reconfigure(0, replace(balancer.settings, classes=(RequestClass(200, 1000, stretch=2.0),)))
         balancer.request(0, "a", 0, 1000)
         self.assertEqual((balancer.requests["a"].spec.aim, balancer.requests["a"].spec.stretch), (200, 2.0))
 
@@ -359,7 +364,7 @@
         for before, after in ((4, 1), (1, 4)):
             with self.subTest(before=before, after=after):
                 net = self.net(most_attempts=before)
-                net.requests.consult(lambda balancer, _: setattr(balancer, "retries", 20.0))
+                net.requests.consult(lambda balancer, _: setattr(balancer, "retry_budget", 20.0))
                 old = net.ask("old", 0, DEADLINE)
                 self.change(net, most_attempts=after)
                 new = net.ask("new", 0, DEADLINE)
@@ -405,7 +410,7 @@
         with self.assertRaises(SettingsError):
             self.change(net, most_attempts=1, connect_timeout=9)
         self.assertIs(net.requests._told, before)
-        net.requests.consult(lambda balancer, _: self.assertIs(balancer.told, before))
+        net.requests.consult(lambda balancer, _: self.assertIs(balancer.settings, before))
 
     def test_a_change_from_within_an_event_comes_after_those_before_it(self) -> None:
         net = self.net(most_attempts=4)
@@ -422,7 +427,7 @@
         client.left = leaves  # type: ignore[method-assign]
         net.requests.arrive("a", "0", None, DEADLINE, True, 1.0, None, 0, Job("a"), client)
         tries = net.requests.consult(
-            lambda balancer, _: {job: r.told.most_attempts for job, r in balancer.requests.items()}
+            lambda balancer, _: {job: r.settings.most_attempts for job, r in balancer.requests.items()}
         )
         self.assertEqual(tries, {"a": 4, "b": 1})
         self.assertEqual([net.requests._table.get(n).most_attempts for n in (0, 1)], [4, 1])  # type: ignore[union-attr]
--- a/tests/test_sizes.py
+++ b/tests/test_sizes.py
@@ -9,7 +9,7 @@
 from tests.helpers import make
 from tests.scenario import SETTINGS, Scenario
 from violetsaddle import Entry
-from violetsaddle.state import mix
+from violetsaddle.state import stable_hash
 
 MANY = 1024
 TIER: dict[str, Any] = {
@@ -57,7 +57,7 @@
         for at in range(0, len(answer), 1000):
             line.sock.sendall(answer[at : at + 1000])
         self.play("d expect after=2")
-        marks = [mix(crc32(e["id"].encode()), 2) & 0xFFFF for e in entries(self.where)]
+        marks = [stable_hash(crc32(e["id"].encode()), 2) & 0xFFFF for e in entries(self.where)]
         words = [(mark << 5 | 1).to_bytes(3, "big") for mark in marks]
         for at in range(0, MANY, 85):
             self.peer.sendto(b"\x81" + b"".join(words[at : at + 85]), self.told_at())
@@ -100,12 +100,12 @@
 
 
 def test_two_servers_with_one_mark_are_both_used() -> None:
-    first = next(n for n in range(2, 1 << 20) if mix(n, 2) & 0xFFFF == mix(1, 2) & 0xFFFF)
+    first = next(n for n in range(2, 1 << 20) if stable_hash(n, 2) & 0xFFFF == stable_hash(1, 2) & 0xFFFF)
     balancer, recorder = make(workers=0, may_tell=True, schedulers=3)
     balancer.members(0, "snapshot", [Entry(n) for n in [1, first, *range(10 * MANY, 11 * MANY - 2)]])
     assert len(balancer.workers) == MANY and balancer.workers[1].mark == balancer.workers[first].mark
     balancer.heard(1, 1, b"\x01" + (balancer.workers[1].mark << 5 | 9).to_bytes(3, "big"))
-    assert balancer._busy(1, balancer.workers[first]) == (9, False), "told jobs count for both"
+    assert balancer._known_load(1, balancer.workers[first]) == (9, False), "told jobs count for both"
     for n in range(4 * MANY):
         balancer.request(n, f"j{n}", 0, 1_000_000)
     sent = {d[2] for d in recorder.named("send")}
--- a/tests/test_subscription.py
+++ b/tests/test_subscription.py
@@ -317,7 +317,7 @@
             balancer.members(0, "disk", [Entry(n) for n in range(5)])
             done = list(recorder.done)
             balancer.heard(5, 2, data)
-            self.assertEqual((balancer.peers, balancer.words, recorder.done), ({}, {}, done))
+            self.assertEqual((balancer.peers, balancer.peer_loads, recorder.done), ({}, {}, done))
 
     def test_neighbours_reach_everybody(self) -> None:
         self.assertEqual(neighbours(0, 1, 4), ())
--- a/tests/test_tally.py
+++ b/tests/test_tally.py
@@ -25,7 +25,7 @@
     )
     balancer.peers[1] = 0
     balancer.crowd, balancer.fleet.most_free[0] = (0.9 if cause == "crowded" else 0.1), 1.0
-    balancer.workers[1].near = cause != "blind"
+    balancer.workers[1].tracked = cause != "blind"
     counters = Counters("n")
     tally, one = Tally(balancer, counters), attempt()
     tally.sent(one)
--- a/tests/test_warmth.py
+++ b/tests/test_warmth.py
@@ -158,7 +158,7 @@
             self.assertTrue(value is None or math.isfinite(value), name)
         for name, low, high in (("pressure", 0, 1), ("crowd", 0, 1), ("own_rate", 0, 1)):
             self.assertTrue(low <= getattr(fresh, name) <= high)
-        self.assertTrue(0.3 <= fresh.fleet.pace <= 1.0 and fresh.fleet.slots <= warmth.MOST_RUNS)
+        self.assertTrue(0.3 <= fresh.fleet.correction <= 1.0 and fresh.fleet.slots <= warmth.MOST_RUNS)
 
 
 class Tier(unittest.TestCase):
--- a/violetsaddle/decide/memory.py
+++ b/violetsaddle/decide/memory.py
@@ -26,6 +26,8 @@
 
 OF_FLEET = ("rate", "slot_time", "slots", "pace")  # the module has these at its estimate of the fleet
 VALUES = (*OF_FLEET, "mean_hint", "pressure", "crowd", "own_rate")
+# Attributes of the module whose names differ from the stored ones.
+ATTRIBUTES = {"pace": "correction"}
 
 
 class Aging(NamedTuple):
@@ -115,6 +117,11 @@
     why: str = ""
 
 
+def attribute(name: str) -> str:
+    """The module's attribute that holds a value stored under this name."""
+    return ATTRIBUTES.get(name, name)
+
+
 def weight(name: str, age: float) -> float:
     """How far a value of this age (microseconds) is believed, 0 to 1."""
     aging, seconds = AGING[name], age / SECOND
@@ -158,7 +165,7 @@
     """Everything worth keeping.  `ids`: the last that ran; `listing`: the list held, in discovery's form,
     which gives boxes their names and starts."""
     fleet = balancer.fleet
-    found = {name: getattr(fleet if name in OF_FLEET else balancer, name) for name in VALUES}
+    found = {name: getattr(fleet if name in OF_FLEET else balancer, attribute(name)) for name in VALUES}
     values = {name: float(value) for name, value in found.items() if sound(value, name)}
     items = _items(listing)
     names = numbered(iter(items))
@@ -178,7 +185,7 @@
         _plain("most_free", fleet.most_free),
         _plain("speeds", balancer.speeds),
         [Bucket(b.rate, b.tokens) for b in balancer.buckets[:MOST_TENANTS]],
-        balancer.retries,
+        balancer.retry_budget,
         boxes,
         ids,
         listing,
@@ -195,7 +202,7 @@
         int(started) * 1000,
         worker.speed,
         worker.errors,
-        max(0, worker.ill_until - now),
+        max(0, worker.unhealthy_until - now),
         worker.strikes,
         worker.trust,
         max(0, worker.shut_until - now),
@@ -268,10 +275,10 @@
         far, value = share * weight(name, age), memory.values.get(name)
         if far < LEAST_WEIGHT or not sound(value, name):
             continue
-        old = getattr(place, name)
+        old = getattr(place, attribute(name))
         # A value that a fresh start does not have has nothing to fade to.
         whole = old is None or (name == "mean_hint" and not old)
-        setattr(place, name, value if whole else old + far * (value - old))
+        setattr(place, attribute(name), value if whole else old + far * (value - old))
         found.values += 1
     time, slots = memory.values.get("slot_time"), memory.values.get("slots")
     far = share * weight("slots", age)
@@ -286,7 +293,7 @@
     ):
         if weight(name, age):
             for kind, value in list(told.items())[:MOST_KINDS]:
-                if 0 <= kind < balancer.told.kinds and sound(value, name):
+                if 0 <= kind < balancer.settings.kinds and sound(value, name):
                     table[kind] = max(value, table.get(kind, 0.0)) if name == "most_free" else value
                     found.values += 1
 
@@ -297,11 +304,11 @@
             continue
         rate = told.rate if told.rate is not None and sound(told.rate, "bucket_rate") else None
         bucket.tokens = min(bucket.burst, told.tokens + (rate or 0.0) * age)
-        bucket.at = now
+        bucket.filled_at = now
         if rate is not None and weight("bucket_rate", age):
             bucket.rate = rate
         found.values += 1
-    for name, value in (("retries", memory.retries),):
+    for name, value in (("retry_budget", memory.retries),):
         if sound(value, "budget"):
             old, far = getattr(balancer, name), weight("budget", age)
             # Both begin at half of what may be saved.
@@ -334,7 +341,7 @@
     worker.errors = max(worker.errors, faded("errors", box.errors, 0.0))
     left = box.ill - age
     if sound(box.ill, "ill") and weight("ill", age) and left > 0:
-        worker.ill_until = max(worker.ill_until, now + int(share * left))
+        worker.unhealthy_until = max(worker.unhealthy_until, now + int(share * left))
     if not seen:
         worker.strikes = max(worker.strikes, round(faded("strikes", box.strikes, 0)))
         worker.trust = min(worker.trust, faded("trust", box.trust, 1.0))
@@ -353,9 +360,9 @@
     ):
         return 0
     balancer.shut += 1
-    balancer._remove(worker)
+    balancer._remove_from_pools(worker)
     worker.shut_until = now + left
-    balancer._after(now, left, balancer._readmit, (worker, worker.shut_until))
+    balancer._schedule(now, left, balancer._readmit, (worker, worker.shut_until))
     return 1
 
 
--- a/violetsaddle/decide/warmth.py
+++ b/violetsaddle/decide/warmth.py
@@ -18,7 +18,7 @@
 from struct import Struct, error
 from typing import Any, NamedTuple
 
-from violetsaddle.decide.memory import Believed, Box, Memory, believe_box, believe_fleet, sound
+from violetsaddle.decide.memory import Believed, Box, Memory, attribute, believe_box, believe_fleet, sound
 
 MS = 1_000  # microseconds
 SECOND = 1_000 * MS
@@ -186,7 +186,10 @@
     fleet = balancer.fleet
     last = max((worker.life for worker in balancer.workers.values()), default=0)
     age = max(0, min(0xFFFF, (now - last) // (10 * MS))) if last else 0xFFFF
-    values = [getattr(fleet if name in ("slot_time", "slots", "pace") else balancer, name) for name in FLEET]
+    values = [
+        getattr(fleet if name in ("slot_time", "slots", "pace") else balancer, attribute(name))
+        for name in FLEET
+    ]
     data = AGED.pack(MAGIC, ANSWER, nonce, age) + VALUES.pack(*(_single(v) for v in values))
     kinds = sorted({*fleet.most_free, *balancer.speeds})[:MOST_KINDS]
     for kind in kinds:
@@ -212,7 +215,7 @@
     for worker in balancer.workers.values():
         kind = balancer.speeds.get(worker.kind, 0.0)
         ratio = worker.speed / kind if worker.speed and kind else 1.0
-        ill = max(0, worker.ill_until - now)
+        ill = max(0, worker.unhealthy_until - now)
         much = abs(math.log(max(ratio, 1e-3))) + 4.0 * (ill > 0) + worker.errors + 1.0 - worker.trust
         if much > 0.1:
             speed = min(255, max(1, round(128 + 32 * math.log2(max(ratio, 1e-3)))))
--- a/violetsaddle/lab/capacity/peers.py
+++ b/violetsaddle/lab/capacity/peers.py
@@ -1,7 +1,7 @@
 """Hollow peers: what the other nodes of a tier tell the measured one, and counts of what it tells them.
 
-They speak the node's gossip (`violetsaddle.policy`, `_tell_all` and `_say`): signs of life, and words on the
-executors of which the measured node hears, as nodes with the operators' load would send them."""
+They speak the node's gossip (`violetsaddle.policy`, `_flush_gossip` and `_send_gossip`): signs of life, and
+words on the executors of which the measured node hears, as nodes with the operators' load would send them."""
 
 from __future__ import annotations
 
--- a/violetsaddle/net/tally.py
+++ b/violetsaddle/net/tally.py
@@ -8,7 +8,7 @@
 from typing import Protocol
 
 from violetsaddle.net.counters import Counters
-from violetsaddle.policy import CROWD_TIGHT, PATIENCE, Balancer
+from violetsaddle.policy import BUSY_SHARE_HIGH, LATE_START_SHARE, Balancer
 
 
 class Begun(Protocol):
@@ -38,17 +38,17 @@
             self._counters.add("sent_cold")
             if worker.cold.tokens < 0.0:
                 self._counters.add("sent_cold_over")
-        elif not worker.near:
+        elif not worker.tracked:
             attempt.doubt = "blind"
-        elif view.crowd > CROWD_TIGHT and view.fleet.most_free:  # without sizes it says nothing
+        elif view.crowd > BUSY_SHARE_HIGH and view.fleet.most_free:  # without sizes it says nothing
             attempt.doubt = "crowded"
-        elif worker.zone != view.told.zone:
+        elif worker.zone != view.settings.zone:
             attempt.doubt = "abroad"
         else:
             attempt.doubt = "stale"
 
     def over(self, attempt: Begun, aim: int, now: int) -> None:
         """It has started, or ended without; the first call counts.  `aim`: its class's, microseconds."""
-        if attempt.doubt and now - attempt.sent > PATIENCE * aim:
+        if attempt.doubt and now - attempt.sent > LATE_START_SHARE * aim:
             self._counters.add("late_" + attempt.doubt)
         attempt.doubt = ""
--- a/violetsaddle/state.py
+++ b/violetsaddle/state.py
@@ -1,6 +1,6 @@
-"""What the decision module keeps of workers, requests and rates: plain data, no decisions.
+"""State that the decision module keeps of workers, requests and rates: plain data without decisions.
 
-Times are microseconds on one clock that only goes forward; rates are slots a microsecond."""
+Times are microseconds on one monotonic clock; rates are slots a microsecond."""
 
 from __future__ import annotations
 
@@ -11,59 +11,59 @@
 from violetsaddle import interface as api
 
 
-def mix(key: int, salt: int) -> int:
-    """A hash that is the same at every scheduler and start."""
+def stable_hash(key: int, salt: int) -> int:
+    """Returns a 64-bit hash that is the same at every scheduler and after every restart."""
     h = (key * 0x9E3779B97F4A7C15 + salt * 0xC2B2AE3D27D4EB4F + 0x165667B19E3779F9) & 0xFFFFFFFFFFFFFFFF
     h = ((h ^ (h >> 31)) * 0xBF58476D1CE4E5B9) & 0xFFFFFFFFFFFFFFFF
     return h ^ (h >> 29)
 
 
-def ranks(key: int, hashes: Sequence[int]) -> list[int]:
-    """The indices of `hashes` by rendezvous hashing: every scheduler finds the same order for a key."""
+def rendezvous_order(key: int, hashes: Sequence[int]) -> list[int]:
+    """Returns the indices of `hashes` in rendezvous order, which every scheduler computes alike for a key."""
     scores = [(key ^ h) * 0x9E3779B97F4A7C15 & 0xFFFFFFFFFFFFFFFF for h in hashes]
     return sorted(range(len(hashes)), key=scores.__getitem__)
 
 
 class Bucket:
-    """Tokens (slots) that accrue at a rate up to a burst; a rate of None has not been estimated yet."""
+    """Tokens (slots) that accrue at a rate up to a burst; the rate is None until it is estimated."""
 
-    __slots__ = ("rate", "burst", "tokens", "at")
+    __slots__ = ("rate", "burst", "tokens", "filled_at")
 
     def __init__(self, now: int, burst: float, tokens: float) -> None:
-        """`burst`, `tokens`: slots; what it holds at most, and now."""
+        """`burst`: the most slots that it can hold; `tokens`: the slots that it holds at `now`."""
         self.rate: float | None = None  # tokens a microsecond
-        self.burst, self.tokens, self.at = burst, tokens, now
+        self.burst, self.tokens, self.filled_at = burst, tokens, now
 
     def fill(self, now: int) -> None:
-        """Accrues up to `now` at the present rate."""
+        """Adds the tokens accrued up to `now` at the current rate."""
         if self.rate is not None:
-            self.tokens = min(self.burst, self.tokens + (now - self.at) * self.rate)
-        self.at = now
+            self.tokens = min(self.burst, self.tokens + (now - self.filled_at) * self.rate)
+        self.filled_at = now
 
 
 class Pool:
-    """Ready workers in an array, so that a draw, an arrival and a departure are O(1)."""
+    """Ready workers in an array, so that sampling, adding and removing are O(1)."""
 
-    __slots__ = ("items", "place", "top")
+    __slots__ = ("items", "positions", "max_weight")
 
     def __init__(self) -> None:
-        """Without workers."""
+        """Starts without workers."""
         self.items: list[Worker] = []
-        self.place: dict[int, int] = {}
-        self.top = 0.0  # no weight in the pool is larger
+        self.positions: dict[int, int] = {}  # index in `items`, by worker id
+        self.max_weight = 0.0  # upper bound of the weights in the pool
 
     def add(self, worker: Worker) -> None:
-        """Not for one that is in the pool already."""
-        self.place[worker.id] = len(self.items)
+        """Adds a worker that is not in the pool yet."""
+        self.positions[worker.id] = len(self.items)
         self.items.append(worker)
-        self.top = max(self.top, worker.weight)
+        self.max_weight = max(self.max_weight, worker.weight)
 
     def discard(self, worker: Worker) -> None:
-        """Only for one that is in the pool."""
-        at, last = self.place.pop(worker.id), self.items.pop()
+        """Removes a worker; raises KeyError if it is not in the pool."""
+        index, last = self.positions.pop(worker.id), self.items.pop()
         if last is not worker:
-            self.items[at] = last
-            self.place[last.id] = at
+            self.items[index] = last
+            self.positions[last.id] = index
 
 
 class Worker:
@@ -89,102 +89,114 @@
         "pools",
         "speed",
         "errors",
-        "ill_until",
+        "unhealthy_until",
         "relapses",
         "mark",
-        "told",
-        "told_at",
-        "circle",
-        "near",
-        "ranks",
+        "gossiped_inflight",
+        "gossiped_at",
+        "gossip_group",
+        "tracked",
+        "scheduler_order",
     )
 
     def __init__(self, entry: api.Entry) -> None:
-        """As the list names it."""
+        """Creates it from its entry on the list."""
         self.id, self.zone, self.cell, self.kind, self.weight, self.started, self.state = entry
-        self.mark, self.key = mix(self.id, 2) & 0xFFFF, mix(self.id, 3)  # mark: its name among schedulers
-        self.errors, self.ill_until, self.relapses = 0.0, 0, 0  # share of errors among its last outcomes
-        self.told, self.told_at = 0, -1_000_000  # jobs in flight that peers were last told, and when
-        self.ranks: list[int] = []  # all schedulers in the order of their part in it, found once
-        self.circle: Sequence[int] = ()  # schedulers that hear of it; all in a small tier
-        self.near = True  # this scheduler is one of them
-        self.speed = 0.0  # of its runs: work hinted over time taken; 0: none seen
-        self.inflight = 0  # own attempts out
+        # The mark stands for the worker in gossip; the key is its input to rendezvous hashing.
+        self.mark, self.key = stable_hash(self.id, 2) & 0xFFFF, stable_hash(self.id, 3)
+        # Share of errors among the last outcomes, end of the rest after too many, and such rests in a row.
+        self.errors, self.unhealthy_until, self.relapses = 0.0, 0, 0
+        self.gossiped_inflight, self.gossiped_at = 0, -1_000_000  # jobs in flight as last gossiped, and when
+        self.scheduler_order: list[int] = []  # all schedulers in rendezvous order, computed once
+        self.gossip_group: Sequence[int] = ()  # schedulers that get its gossip; empty in a small tier: all do
+        self.tracked = True  # whether this scheduler gets its gossip
+        self.speed = 0.0  # of its runs: hinted work over time taken; 0: none seen
+        self.inflight = 0  # own attempts in flight
+        # Failures in a row, end of the ejection, factor on the weight, end of the pause after a 'full'.
         self.strikes, self.shut_until, self.trust, self.full_until = 0, 0, 1.0, 0
-        self.cold_until, self.life = 0, 0  # until when it may be cold, and its last sign of life
-        self.cold = Bucket(0, 0.0, 0.0)
+        self.cold_until, self.life = 0, 0  # end of its warm-up; its last sign of life
+        self.cold = Bucket(0, 0.0, 0.0)  # what this scheduler may send it during its warm-up
         self.pools: tuple[Pool, ...] = ()
 
 
 class Attempt:
-    """One attempt of a request, with the worker's place as it was sent."""
+    """One attempt of a request, with the zone and cell that the worker had when it was sent."""
 
-    __slots__ = ("number", "worker", "cell", "zone", "sent", "started", "out", "late", "may_have_run")
+    __slots__ = ("number", "worker", "cell", "zone", "sent", "started", "in_flight", "late", "may_have_run")
 
     def __init__(self, number: int, worker: Worker, now: int) -> None:
-        """Sent at `now`."""
+        """`number`: its index in the request; `now`: the time at which it is sent."""
         self.number, self.worker = number, worker
         self.cell, self.zone, self.sent, self.started = worker.cell, worker.zone, now, 0
-        self.out, self.may_have_run, self.late = True, True, False
+        self.in_flight, self.may_have_run, self.late = True, True, False
 
 
 class Request:
-    """A request, with the settings under which it was taken: it is judged by these for its whole life."""
+    """A request, with the settings at its arrival, which apply to it until it ends."""
 
     __slots__ = (
         "id",
-        "told",
+        "settings",
         "spec",
         "slots",
         "deadline",
         "attempts",
-        "out",
-        "over",
-        "streams",
-        "patience",
+        "in_flight",
+        "finished",
+        "streaming",
+        "start_limit",
         "hint",
         "cost",
     )
 
     def __init__(
-        self, job: str, told: api.Settings, cls: int, slots: float, deadline: int, patience: float, hint: int
+        self,
+        job: str,
+        settings: api.Settings,
+        cls: int,
+        slots: float,
+        deadline: int,
+        start_share: float,
+        hint: int,
     ) -> None:
-        """`patience`: the part of the class's aim after which a start is late."""
-        self.id, self.told, self.slots, self.hint, self.cost = job, told, slots, hint, slots
-        self.spec = spec = told.classes[cls]
-        self.deadline, self.patience = deadline, int(patience * spec.aim)
+        """`start_share`: the part of the class's aim after which a start is late; `hint`: its expected run
+        time, 0 if unknown; `deadline` and `hint` are microseconds."""
+        self.id, self.settings, self.slots, self.hint, self.cost = job, settings, slots, hint, slots
+        self.spec = spec = settings.classes[cls]
+        self.deadline, self.start_limit = deadline, int(start_share * spec.aim)
         self.attempts: list[Attempt] = []
-        self.out, self.over, self.streams = 0, False, False
+        self.in_flight, self.finished, self.streaming = 0, False, False  # `in_flight` counts attempts
 
     def tried(self, worker: Worker) -> bool:
-        """Whether an earlier attempt went to this worker."""
-        return any(a.worker.id == worker.id for a in self.attempts)  # back on the list it is another object
+        """Returns whether an earlier attempt went to this worker."""
+        # By id: a worker that left the list and came back is another object.
+        return any(a.worker.id == worker.id for a in self.attempts)
 
 
 class Timers:
-    """Calls that are due at a time, with what they are about; the nearest time is armed."""
+    """A heap of callbacks with their due times; the driver is asked to wake it at the earliest one."""
 
     def __init__(self, act: api.Actions) -> None:
-        """`act`: is asked to arm the nearest time."""
+        """`act`: its `arm` is called with the earliest due time."""
         self.act = act
-        self.timers: list[tuple[int, int, Any, Any]] = []
-        self.timer_number, self.armed = 0, 0
+        self.timers: list[tuple[int, int, Any, Any]] = []  # due time, sequence number, callback, argument
+        self.timer_number, self.armed = 0, 0  # `armed`: the time asked for; 0: none
 
-    def _after(self, now: int, wait: int, what: Any, about: Any) -> None:
-        at = now + max(1, wait)
+    def _schedule(self, now: int, wait: int, callback: Any, argument: Any) -> None:
+        due = now + max(1, wait)
         self.timer_number += 1
-        heapq.heappush(self.timers, (at, self.timer_number, what, about))
-        if not self.armed or at < self.armed:
-            self.armed = at
-            self.act.arm(at)
+        heapq.heappush(self.timers, (due, self.timer_number, callback, argument))
+        if not self.armed or due < self.armed:
+            self.armed = due
+            self.act.arm(due)
 
     def wake(self, now: int) -> None:
-        """The armed time has come; a wake that was overtaken by an earlier one does no harm."""
+        """Runs the callbacks that are due; a wake that an earlier one has made needless does no harm."""
         timers = self.timers
         self.armed = self.armed if self.armed > now else 0
         while timers and timers[0][0] <= now:
-            _, _, what, about = heapq.heappop(timers)
-            what(now, about)
+            _, _, callback, argument = heapq.heappop(timers)
+            callback(now, argument)
         if timers and (not self.armed or timers[0][0] < self.armed):
             self.armed = timers[0][0]
             self.act.arm(self.armed)
