--- a/tests/test_circles.py
+++ b/tests/test_circles.py
@@ -110,12 +110,12 @@
     mesh = Mesh(60, fleet(40))
     mesh.run(3 * SECOND)
     balancer = mesh.seats[0].balancer
-    balancer.fleet.most_free[0], balancer.crowd = 1.0, 0.1
+    balancer.fleet.most_free[0], balancer.busy_share = 1.0, 0.1
     tracked = {w.id for w in balancer.tracked.items}
     for w in tracked:
         balancer.peer_inflight[balancer.workers[w].mark & 0x7FF] = 2
     for _ in range(60):
-        balancer.crowd = 0.1
+        balancer.busy_share = 0.1
         mesh.job(0, takes=2 * MS)
         mesh.run(mesh.now + 3 * MS)
     drawn = [balancer.workers[worker] for _, _, _, worker in mesh.sent]
@@ -131,7 +131,7 @@
     for w in balancer.tracked.items:
         balancer.peer_inflight[w.mark & 0x7FF] = 2
     for _ in range(30):
-        balancer.crowd = 0.95
+        balancer.busy_share = 0.95
         mesh.job(0, takes=2 * MS)
         mesh.run(mesh.now + 3 * MS)
     assert all(balancer.workers[worker].tracked for _, _, _, worker in mesh.sent)
--- a/tests/test_departures.py
+++ b/tests/test_departures.py
@@ -29,7 +29,7 @@
 
 def test_late_starts_in_a_fleet_with_room_do_not_open_the_window() -> None:
     balancer, _ = make()
-    balancer.crowd = 0.1
+    balancer.busy_share = 0.1
     for _ in range(5):
         balancer._record_start(10, True, balancer.workers[1])
     assert 0.25 < balancer.pressure < 0.5 and balancer.saturated_until == 0
@@ -121,7 +121,7 @@
         balancer, recorder = make(workers=0, zones=2, zone=0)
         balancer.members(0, "snapshot", [Entry(n, zone=n % 2) for n in range(40)])
         for n in range(300):
-            balancer.crowd = crowd
+            balancer.busy_share = crowd
             balancer.request(n, f"j{n}", 0, SECOND)
             balancer.answer(n, f"j{n}", 0, "ok", 1, True, None)
         shares.append(sum(1 for d in recorder.named("send") if d[2] % 2 == 0) / 300)
@@ -133,7 +133,7 @@
     balancer.request(0, "a", 3, 3 * SECOND)
     worker = recorder.sent_to("a")[0]
     run_until(balancer, recorder, 0, 90 * MS)
-    assert balancer.workers[worker].shut_until and len(balancer.ready_workers.items) == 9
+    assert balancer.workers[worker].ejected_until and len(balancer.ready_workers.items) == 9
     balancer.note(95 * MS, "a", 0, 1, 0.0)
     assert len(balancer.ready_workers.items) == 10 and balancer.workers[worker].trust < 1.0
 
--- a/tests/test_large_tier.py
+++ b/tests/test_large_tier.py
@@ -76,7 +76,7 @@
     for _ in range(200):
         mesh.job(7)
         mesh.run(mesh.now + SECOND // 50)  # 15 in flight
-        seat.balancer.crowd = min(seat.balancer.crowd, 0.4)
+        seat.balancer.busy_share = min(seat.balancer.busy_share, 0.4)
     sent = [worker for _, me, _, worker in mesh.sent if me == 7]
     near = {w.id for w in seat.balancer.tracked.items}
     assert not mesh.refused and near <= set(sent)
--- a/tests/test_memory.py
+++ b/tests/test_memory.py
@@ -81,7 +81,7 @@
     found |= {
         f"{w.id}.{name}": getattr(w, name)
         for w in balancer.workers.values()
-        for name in ("speed", "errors", "unhealthy_until", "strikes", "shut_until", "trust", "life")
+        for name in ("speed", "errors", "unhealthy_until", "strikes", "ejected_until", "trust", "last_seen")
     }
     found |= {f"bucket{n}": b.tokens for n, b in enumerate(balancer.buckets)}
     return {**found, "retries": balancer.retry_budget}
@@ -110,11 +110,11 @@
         balancer, recorder = make(workers=0, **MORE)
         balancer.members(0, "disk", [entry(name) for name in NAMES])
         believe(balancer, Memory(UNIX, boxes={name: box for name in NAMES}), 0, UNIX + SECOND)
-        out = [w for w in balancer.workers.values() if w.shut_until]
-        self.assertEqual((len(out), balancer.shut), (1, 1))  # three tenths of six at most
+        out = [w for w in balancer.workers.values() if w.ejected_until]
+        self.assertEqual((len(out), balancer.ejected), (1, 1))  # three tenths of six at most
         self.assertEqual(len(balancer.ready_workers.items), 5)
         run_until(balancer, recorder, 0, 2 * SECOND + MS)
-        self.assertEqual((len(balancer.ready_workers.items), balancer.shut), (6, 0))
+        self.assertEqual((len(balancer.ready_workers.items), balancer.ejected), (6, 0))
 
     def test_only_boxes_that_the_list_names_with_the_same_start(self) -> None:
         now = 20 * SECOND
--- a/tests/test_policy.py
+++ b/tests/test_policy.py
@@ -187,7 +187,7 @@
         balancer.answer(n, f"j{n}", 0, "reset", 1, False, None)
     assert len(balancer.ready_workers.items) >= 7
     run_until(balancer, recorder, 40, 20 * SECOND)
-    assert len(balancer.ready_workers.items) == 10 and balancer.shut == 0
+    assert len(balancer.ready_workers.items) == 10 and balancer.ejected == 0
 
 
 def test_zone_that_is_cut_off_is_avoided() -> None:
--- a/tests/test_tally.py
+++ b/tests/test_tally.py
@@ -24,7 +24,7 @@
         0, "snapshot", [Entry(1, zone=int(cause != "abroad"), started=SECOND // 2 if cause == "cold" else 0)]
     )
     balancer.peers[1] = 0
-    balancer.crowd, balancer.fleet.most_free[0] = (0.9 if cause == "crowded" else 0.1), 1.0
+    balancer.busy_share, balancer.fleet.most_free[0] = (0.9 if cause == "crowded" else 0.1), 1.0
     balancer.workers[1].tracked = cause != "blind"
     counters = Counters("n")
     tally, one = Tally(balancer, counters), attempt()
--- a/tests/test_warmth.py
+++ b/tests/test_warmth.py
@@ -118,13 +118,13 @@
         self.assertTrue(told)
         for worker in told:
             self.assertGreater(fresh.workers[worker.id].errors, 0.1)
-        self.assertTrue(all(w.trust >= warmth.FAIR and not w.shut_until for w in fresh.workers.values()))
+        self.assertTrue(all(w.trust >= warmth.FAIR and not w.ejected_until for w in fresh.workers.values()))
 
     def test_marks_that_collide_and_own_evidence(self) -> None:
         heard = [Heard(0, Memory(0), {w.mark: Box(0, errors=0.9) for w in node(0).workers.values()})]
         fresh = node(0)
         one, two, three, *rest = fresh.workers.values()
-        one.mark, three.life = two.mark, 5
+        one.mark, three.last_seen = two.mark, 5
         believe(fresh, heard, 10, 1, own_runs=True)
         self.assertEqual([w.errors for w in (one, two, three)], [0.0] * 3)
         self.assertTrue(all(w.errors > 0.5 for w in rest))
@@ -156,7 +156,7 @@
         believe(fresh, asking.take(SECOND), SECOND, SECOND)
         for name, value in state(fresh).items():
             self.assertTrue(value is None or math.isfinite(value), name)
-        for name, low, high in (("pressure", 0, 1), ("crowd", 0, 1), ("own_rate", 0, 1)):
+        for name, low, high in (("pressure", 0, 1), ("busy_share", 0, 1), ("own_rate", 0, 1)):
             self.assertTrue(low <= getattr(fresh, name) <= high)
         self.assertTrue(0.3 <= fresh.fleet.correction <= 1.0 and fresh.fleet.slots <= warmth.MOST_RUNS)
 
--- a/violetsaddle/decide/memory.py
+++ b/violetsaddle/decide/memory.py
@@ -27,7 +27,7 @@
 OF_FLEET = ("rate", "slot_time", "slots", "pace")  # the module has these at its estimate of the fleet
 VALUES = (*OF_FLEET, "mean_hint", "pressure", "crowd", "own_rate")
 # Attributes of the module whose names differ from the stored ones.
-ATTRIBUTES = {"pace": "correction"}
+ATTRIBUTES = {"pace": "correction", "crowd": "busy_share"}
 
 
 class Aging(NamedTuple):
@@ -205,8 +205,8 @@
         max(0, worker.unhealthy_until - now),
         worker.strikes,
         worker.trust,
-        max(0, worker.shut_until - now),
-        now - worker.life if worker.life else -1,
+        max(0, worker.ejected_until - now),
+        now - worker.last_seen if worker.last_seen else -1,
         worker.cold.tokens if cold else None,
     )
 
@@ -252,7 +252,7 @@
     believe_fleet(balancer, memory, age, found)
     _buckets(balancer, memory, now, age, found)
     names = numbered(iter(memory.boxes))
-    allowed = int(MOST_SHUT * len(balancer.workers)) - balancer.shut
+    allowed = int(MOST_SHUT * len(balancer.workers)) - balancer.ejected
     for number, name in names.items():
         worker, box = balancer.workers.get(number), memory.boxes[name]
         # Both clocks' starts are told in Unix time; a box that has started since is another box.
@@ -346,23 +346,23 @@
         worker.strikes = max(worker.strikes, round(faded("strikes", box.strikes, 0)))
         worker.trust = min(worker.trust, faded("trust", box.trust, 1.0))
         if sound(box.life, "life") and weight("life", age):
-            worker.life = max(0, now - box.life - age)
+            worker.last_seen = max(0, now - box.life - age)
     if box.cold is not None and worker.cold_until > now and sound(box.cold, "cold"):
         worker.cold.tokens = min(worker.cold.tokens, box.cold)
     left = box.shut - age
     if not (
         may_shut
         and worker.pools
-        and not worker.shut_until
+        and not worker.ejected_until
         and sound(box.shut, "shut")
         and weight("shut", age)
         and left > 0
     ):
         return 0
-    balancer.shut += 1
+    balancer.ejected += 1
     balancer._remove_from_pools(worker)
-    worker.shut_until = now + left
-    balancer._schedule(now, left, balancer._readmit, (worker, worker.shut_until))
+    worker.ejected_until = now + left
+    balancer._schedule(now, left, balancer._readmit, (worker, worker.ejected_until))
     return 1
 
 
--- a/violetsaddle/decide/warmth.py
+++ b/violetsaddle/decide/warmth.py
@@ -184,7 +184,7 @@
 def told(balancer: Any, now: int, nonce: int) -> list[bytes]:
     """What a node knows, in datagrams."""
     fleet = balancer.fleet
-    last = max((worker.life for worker in balancer.workers.values()), default=0)
+    last = max((worker.last_seen for worker in balancer.workers.values()), default=0)
     age = max(0, min(0xFFFF, (now - last) // (10 * MS))) if last else 0xFFFF
     values = [
         getattr(fleet if name in ("slot_time", "slots", "pace") else balancer, attribute(name))
@@ -281,7 +281,7 @@
         if marks[worker.mark] > 1:
             continue
         told = next(((one.age, one.boxes[worker.mark]) for one in heard if worker.mark in one.boxes), None)
-        if told is None or worker.life > began:
+        if told is None or worker.last_seen > began:
             continue
         _believe_box(balancer, worker, told[1], now, max(0, told[0]))
         found.boxes += 1
--- a/violetsaddle/net/tally.py
+++ b/violetsaddle/net/tally.py
@@ -40,7 +40,7 @@
                 self._counters.add("sent_cold_over")
         elif not worker.tracked:
             attempt.doubt = "blind"
-        elif view.crowd > BUSY_SHARE_HIGH and view.fleet.most_free:  # without sizes it says nothing
+        elif view.busy_share > BUSY_SHARE_HIGH and view.fleet.most_free:  # without sizes it says nothing
             attempt.doubt = "crowded"
         elif worker.zone != view.settings.zone:
             attempt.doubt = "abroad"
--- a/violetsaddle/policy.py
+++ b/violetsaddle/policy.py
@@ -214,7 +214,7 @@
             ("any", -1): self.ready_workers,
             ("tracked", -1): self.tracked,
         }
-        self.shut = 0  # workers ejected now
+        self.ejected = 0  # workers ejected now
         self.zone_strikes, self.zone_trust = [0] * settings.zones, [1.0] * settings.zones
         self.requests: dict[str, Request] = {}
         self.buckets = [TokenBucket(now, MIN_BURST, MIN_BURST) for _ in settings.tenants]
@@ -223,7 +223,7 @@
         self.arrived_slots, self.own_rate = 0.0, 0.0  # slots since the last tick; slots a microsecond
         self.largest_job = 1.0  # slots
         self.pressure, self.saturated_until, self.mean_hint = 0.0, 0, 0.0
-        self.crowd = 1.0  # share of workers seen without room; without reports late starts alone decide
+        self.busy_share = 1.0  # share of workers seen without room; without reports late starts alone decide
         self.retry_budget = RETRY_MAX / 2
         # A scheduler without gossip assumes that all others send what it sends.
         self.isolated = settings.schedulers < 2 or not settings.may_tell
@@ -337,7 +337,7 @@
             most = GOSSIP_GROUP_SIZE - min(GOSSIP_GROUP_REMOTE, len(away))
             worker.gossip_group = home[:most] + away[: GOSSIP_GROUP_SIZE - len(home[:most])]
             worker.tracked = self.settings.me in worker.gossip_group
-        if worker.state == api.ACTIVE and worker.shut_until <= now:
+        if worker.state == api.ACTIVE and worker.ejected_until <= now:
             self._add_to_pools(worker)
 
     def _queue_gossip(self, now: int, worker: Worker, failed: bool = False) -> None:
@@ -458,7 +458,7 @@
 
     def _reset_after_start(self, now: int, worker: Worker) -> None:
         """Resets a worker that is new, or restarted under its old id; it may be cold."""
-        worker.strikes, worker.trust, worker.life = 0, 1.0, 0
+        worker.strikes, worker.trust, worker.last_seen = 0, 1.0, 0
         self._clear_ejection(worker)
         worker.cold_until = min(worker.started, now) + self.settings.cold_for if worker.started else 0
         if worker.cold_until > now:
@@ -487,36 +487,36 @@
         worker.pools = ()
 
     def _clear_ejection(self, worker: Worker) -> None:
-        if worker.shut_until:
-            worker.shut_until = 0
-            self.shut -= 1
+        if worker.ejected_until:
+            worker.ejected_until = 0
+            self.ejected -= 1
 
     def _record_failure(self, now: int, worker: Worker) -> None:
         """Lowers the trust in a worker and ejects it for a while, unless too many are ejected already."""
         worker.trust = FAILED_TRUST
         worker.strikes = min(worker.strikes + 1, MAX_STRIKES)
-        if worker.shut_until or not worker.pools or self.shut + 1 > MAX_EJECTED * len(self.workers):
+        if worker.ejected_until or not worker.pools or self.ejected + 1 > MAX_EJECTED * len(self.workers):
             return
-        self.shut += 1
+        self.ejected += 1
         self._remove_from_pools(worker)
         wait = int((EJECTED_FOR << (worker.strikes - 1)) * (0.5 + self.random()))
-        worker.shut_until = now + wait
-        self._schedule(now, wait, self._readmit, (worker, worker.shut_until))
+        worker.ejected_until = now + wait
+        self._schedule(now, wait, self._readmit, (worker, worker.ejected_until))
 
     def _readmit(self, now: int, ejection: tuple[Worker, int]) -> None:
         worker, until = ejection
-        if worker.shut_until == until:
+        if worker.ejected_until == until:
             self._clear_ejection(worker)
             if worker.state == api.ACTIVE:
                 self._add_to_pools(worker)
 
     def _record_alive(self, now: int, worker: Worker) -> None:
-        worker.life = now
+        worker.last_seen = now
         self.zone_strikes[worker.zone], self.zone_trust[worker.zone] = 0, 1.0
         if worker.trust < 1.0:
             worker.trust, worker.strikes = min(1.0, worker.trust * 2), 0
-            if worker.shut_until:
-                self._readmit(now, (worker, worker.shut_until))
+            if worker.ejected_until:
+                self._readmit(now, (worker, worker.ejected_until))
 
     def _record_zone_failure(self, zone: int) -> None:
         """Counts failures in a row over a zone's workers: many mean that its links are cut, not that each
@@ -535,7 +535,7 @@
         if delayed:
             self.pressure += 1.0 - PRESSURE_DECAY
             if self.pressure > PRESSURE_HIGH and (
-                self.crowd > BUSY_SHARE_HIGH or self.pressure > PRESSURE_VERY_HIGH
+                self.busy_share > BUSY_SHARE_HIGH or self.pressure > PRESSURE_VERY_HIGH
             ):
                 if now >= self.saturated_until:
                     # The saved bursts of all schedulers are seconds of the fleet's work: they are discarded.
@@ -597,7 +597,8 @@
         n, home, spare, least, debtor = len(items), self.settings.zone, None, float("inf"), None
         away = (
             REMOTE_ZONE_WEIGHT
-            if self.crowd < BUSY_SHARE_REMOTE and (pool is not self.ready_workers or not self.uses_groups)
+            if self.busy_share < BUSY_SHARE_REMOTE
+            and (pool is not self.ready_workers or not self.uses_groups)
             else 1.0
         )
         for _ in range(MAX_DRAWS if n else 0):
@@ -638,7 +639,7 @@
             and pool is self.tracked
             and (
                 best is None
-                or self.crowd < BUSY_SHARE_UNTRACKED
+                or self.busy_share < BUSY_SHARE_UNTRACKED
                 and self._load(now, best, request.slots) > 0.0
             )
         ):
@@ -724,7 +725,7 @@
         self.retry_budget = min(RETRY_MAX, self.retry_budget + RETRY_SHARE)
         if self.peers and (items := self.tracked.items):
             busy = self._load(now, items[int(self.random() * len(items))], 1.0) > 0.0
-            self.crowd += BUSY_SHARE_STEP * (busy - self.crowd)
+            self.busy_share += BUSY_SHARE_STEP * (busy - self.busy_share)
         self.largest_job = max(self.largest_job, slots)
         bucket.burst = max(MIN_BURST, self.largest_job)
         if not bucket.take(now, slots) and now < self.saturated_until:
@@ -814,9 +815,9 @@
         ):
             return
         worker = (attempt := request.attempts[number]).worker
-        settings, silent = request.settings, worker.life <= attempt.sent
+        settings, silent = request.settings, worker.last_seen <= attempt.sent
         if attempt.started:
-            if now - worker.life < SILENT_INTERVALS * settings.progress_every:
+            if now - worker.last_seen < SILENT_INTERVALS * settings.progress_every:
                 self._schedule(now, settings.progress_every, self._check_attempt, about)
                 return
             self._record_zone_failure(worker.zone)
--- a/violetsaddle/state.py
+++ b/violetsaddle/state.py
@@ -80,12 +80,12 @@
         "inflight",
         "strikes",
         "key",
-        "shut_until",
+        "ejected_until",
         "trust",
         "full_until",
         "cold_until",
         "cold",
-        "life",
+        "last_seen",
         "pools",
         "speed",
         "errors",
@@ -113,8 +113,8 @@
         self.speed = 0.0  # of its runs: hinted work over time taken; 0: none seen
         self.inflight = 0  # own attempts in flight
         # Failures in a row, end of the ejection, factor on the weight, end of the pause after a 'full'.
-        self.strikes, self.shut_until, self.trust, self.full_until = 0, 0, 1.0, 0
-        self.cold_until, self.life = 0, 0  # end of its warm-up; its last sign of life
+        self.strikes, self.ejected_until, self.trust, self.full_until = 0, 0, 1.0, 0
+        self.cold_until, self.last_seen = 0, 0  # end of its warm-up; its last sign of life
         self.cold = Bucket(0, 0.0, 0.0)  # what this scheduler may send it during its warm-up
         self.pools: tuple[Pool, ...] = ()
 
