--- a/violetsaddle/interface.py
+++ b/violetsaddle/interface.py
@@ -1,7 +1,7 @@
-"""The interface of violetsaddle: settings, events, actions and outcomes, in the words of the field.
+"""The public interface of the decision module: settings, event values, actions and outcomes.
 
-Times are microseconds on one clock that only goes forward.  Events are the public methods of
-`violetsaddle.policy.Balancer`; what it decides goes to an object with the methods of `Actions`.
+All times are whole microseconds on one monotonic clock.  Events are the public methods of
+`violetsaddle.policy.Balancer`.  The balancer calls the methods of `Actions` with its decisions.
 """
 
 from __future__ import annotations
@@ -10,60 +10,83 @@
 from dataclasses import dataclass, field, fields, replace
 from typing import NamedTuple, Protocol
 
-OK, ERROR, FULL, TIMEOUT = "ok", "error", "full", "timeout"
-CONNECT_FAILED, RESET, CANCELLED, MOOT = "connect_failed", "reset", "cancelled", "moot"
+# Outcomes of an attempt.
+OK = "ok"  # the worker sent a result
+ERROR = "error"  # the attempt failed, or its answer was not valid; it may have run
+FULL = "full"  # the worker turned the attempt away before it started
+TIMEOUT = "timeout"  # no outcome in time; the attempt may have run
+CONNECT_FAILED = "connect_failed"
+RESET = "reset"  # the connection or the job was lost; the attempt may have run
+CANCELLED = "cancelled"
+MOOT = "moot"  # the last byte had not left in time (see `Actions.send`)
 OUTCOMES = frozenset((OK, ERROR, FULL, TIMEOUT, CONNECT_FAILED, RESET, CANCELLED, MOOT))
-NEVER_RAN = frozenset((FULL, CONNECT_FAILED, MOOT))  # these prove that the attempt never ran
+NEVER_RAN = frozenset((FULL, CONNECT_FAILED, MOOT))  # outcomes that prove that the attempt never ran
 
-STARTED, PROGRESS = 1, 2  # what a note about an attempt says
-ACTIVE, DRAINING, GONE = "active", "draining", "gone"  # states of a worker on the list
-SAFE, KEYED, UNSAFE = "safe", "keyed", "unsafe"  # what a repeat of a request may do
-DIFF, SNAPSHOT, DISK, LIST_ERROR = "diff", "snapshot", "disk", "error"  # kinds of list event
+# Kinds of note about an attempt.
+STARTED = 1
+PROGRESS = 2
+
+# States of a worker on the list.
+ACTIVE = "active"
+DRAINING = "draining"
+GONE = "gone"
+
+# Whether a request may be repeated after an attempt that may have run.
+SAFE = "safe"  # a repeat does no harm
+KEYED = "keyed"  # workers of one group drop a repeat within a time window
+UNSAFE = "unsafe"  # it must not run twice
+
+# Kinds of list event.
+DIFF = "diff"  # only the workers that changed
+SNAPSHOT = "snapshot"  # all workers
+DISK = "disk"  # all workers, from a stored list that may be out of date
+LIST_ERROR = "error"  # discovery could not be reached
 
 
 class SettingsError(ValueError):
-    """A setting is missing, of the wrong type or out of range; the text names it."""
+    """A setting is missing, has the wrong type or is out of range; the message names the setting."""
 
 
 class EventError(ValueError):
-    """An event that cannot be: an unknown class, an id given twice, an attempt never made."""
+    """An event is not valid, for example an unknown class, a duplicate request id or an unknown attempt."""
 
 
 class Entry(NamedTuple):
     """One worker on the list."""
 
-    worker: int
-    zone: int = 0
+    worker: int  # the worker's id
+    zone: int = 0  # index of its failure domain
     cell: int = 0
-    kind: int = 0
+    kind: int = 0  # index of its machine kind
     weight: float = 1.0
-    started: int = 0  # clock time of its last start; 0: long ago
-    state: str = ACTIVE
+    started: int = 0  # time of its last start in microseconds; 0: long ago
+    state: str = ACTIVE  # `ACTIVE`, `DRAINING` or `GONE`
 
 
 @dataclass(frozen=True)
 class RequestClass:
-    """What the clients expect of one class of requests."""
+    """Latency goals and repeat rules of one class of requests; times are microseconds."""
 
-    aim: int  # an answer within this earns the full worth
-    deadline: int
-    effect: str = SAFE
-    group: str = "all"  # keyed only: which workers drop a repeat: all, zone or cell
-    window: int = 0  # keyed only: for how long after the first send
-    stretch: float = 0.0  # the aim grows by this many times the job's own work
-    stream: bool = False
-    worker_kind: int = -1  # the machine kind that runs it; -1: any
+    aim: int  # target latency: an answer within it has its full value
+    deadline: int  # an answer that takes longer is of no use
+    effect: str = SAFE  # `SAFE`, `KEYED` or `UNSAFE`
+    group: str = "all"  # `KEYED` only: which workers drop a repeat: "all", or those of one "zone" or "cell"
+    window: int = 0  # `KEYED` only: how long after the first send they drop a repeat
+    stretch: float = 0.0  # `aim` grows by this factor times the job's own running time
+    stream: bool = False  # whether answers may stream
+    worker_kind: int = -1  # index of the only machine kind that runs this class; -1: any kind
 
 
 @dataclass(frozen=True)
 class Tenant:
-    """A tenant's told share of the fleet."""
+    """A tenant's configured share of the fleet."""
 
-    share: float = 1.0
-    allowance_per_s: float = 0.0  # requests a second inside its share, over all schedulers; 0: not told
+    share: float = 1.0  # relative to the sum of all tenants' shares
+    allowance_per_s: float = 0.0  # requests per second within its share, over all schedulers; 0: not set
 
 
-# What may change while requests are in flight: of classes aim and stretch, of tenants all but their number.
+# Settings that may change while requests are in flight.  Of a class only `aim` and `stretch` may change, and
+# the number of tenants may not.
 CHANGEABLE = frozenset(
     ("classes", "tenants", "may_probe", "may_cancel", "second_copies", "may_advise", "most_advice")
     + ("most_attempts", "cross_zone_price", "fetch_price")
@@ -72,42 +95,42 @@
 
 @dataclass(frozen=True)
 class Settings:
-    """All a scheduler is told at its start."""
+    """The configuration of one scheduler; times are microseconds."""
 
     classes: tuple[RequestClass, ...]
     tenants: tuple[Tenant, ...] = (Tenant(),)
-    zones: int = 1
-    zone: int = 0
-    kinds: int = 1
-    me: int = 0
-    schedulers: int = 1
-    tick: int = 1000  # least time between two batches of events
-    must_ask: bool = False  # the list comes only when asked for
-    live_weights: bool = False  # weights follow the load
-    report: frozenset[str] = field(default_factory=frozenset)  # names of the values reported
-    report_by_probe: bool = False
-    tells_start: bool = False
-    progress_every: int = 0  # 0: no progress is told
+    zones: int = 1  # number of zones
+    zone: int = 0  # index of the scheduler's own zone
+    kinds: int = 1  # number of machine kinds
+    me: int = 0  # the scheduler's own number, from 0
+    schedulers: int = 1  # number of schedulers
+    tick: int = 1000  # shortest interval between two batches of events
+    must_ask: bool = False  # whether the list comes only after `Actions.watch`
+    live_weights: bool = False  # whether the weights on the list follow the load
+    report: frozenset[str] = field(default_factory=frozenset)  # names of the values that workers report
+    report_by_probe: bool = False  # whether a probe returns the report
+    tells_start: bool = False  # whether workers tell when an attempt starts
+    progress_every: int = 0  # interval between progress notes of a running attempt; 0: none are sent
     may_probe: bool = False
-    may_tell: bool = False
+    may_tell: bool = False  # whether messages to other schedulers are allowed
     may_cancel: bool = False
-    second_copies: bool = False
-    may_advise: bool = False  # a refusal may carry a retry-after
-    most_advice: int = 1_000_000
-    most_attempts: int = 3
+    second_copies: bool = False  # whether a request may have two attempts at a time
+    may_advise: bool = False  # whether a refusal may have a retry-after
+    most_advice: int = 1_000_000  # upper limit of a retry-after
+    most_attempts: int = 3  # attempts per request
     connect_timeout: int = 250_000
-    keepalive: int = 10_000_000
-    drain_grace: int = 1_000_000
-    cold_from: float = 1.0  # a fresh worker's least share of its capacity
-    cold_for: int = 0
-    fall_multiple: float = 3.0
-    fall_after: int = 2_000_000  # that many times its capacity for so long push a cold worker over
-    ask_within: int = 10_000_000
-    cross_zone_price: float = 0.0
-    fetch_price: float = 0.0  # of an origin fetch for each request
+    keepalive: int = 10_000_000  # how long a worker keeps an idle connection open
+    drain_grace: int = 1_000_000  # how long a draining worker still accepts attempts
+    cold_from: float = 1.0  # part of its capacity that a worker has right after its start, above 0, at most 1
+    cold_for: int = 0  # time from a worker's start to its full capacity
+    fall_multiple: float = 3.0  # load that makes a cold worker fail, in multiples of its capacity
+    fall_after: int = 2_000_000  # how long that load must last to make it fail
+    ask_within: int = 10_000_000  # `must_ask` only: longest interval between two requests for the list
+    cross_zone_price: float = 0.0  # cost of an attempt in another zone
+    fetch_price: float = 0.0  # cost of a fetch from the origin, per request
 
     def __post_init__(self) -> None:
-        """Raises `SettingsError`, which names the first setting out of range."""
+        """Raises `SettingsError` that names the first setting out of range."""
         checks = (
             ("classes", len(self.classes) > 0),
             ("tenants", len(self.tenants) > 0 and all(t.share >= 0 for t in self.tenants)),
@@ -122,52 +145,61 @@
             ("classes.effect", all(c.effect in (SAFE, KEYED, UNSAFE) for c in self.classes)),
             ("classes.group", all(c.group in ("all", "zone", "cell") for c in self.classes)),
         )
-        for name, good in checks:
-            if not good:
+        for name, valid in checks:
+            if not valid:
                 raise SettingsError(f"setting {name!r} is out of range")
 
-    def check_change(self, told: Settings) -> None:
-        """Raises `SettingsError` where `told` differs in what can't change while requests are in flight."""
+    def check_change(self, changed: Settings) -> None:
+        """Raises `SettingsError` if `changed` differs in a setting that is not in `CHANGEABLE`."""
         for name in (f.name for f in fields(self)):
-            if name not in CHANGEABLE and getattr(self, name) != getattr(told, name):
-                raise SettingsError(f"setting {name!r} can't be changed at work")
-        if len(self.tenants) != len(told.tenants):
-            raise SettingsError("setting 'tenants' can't change its number at work")
-        after = tuple(
-            replace(new, aim=old.aim, stretch=old.stretch) for old, new in zip(self.classes, told.classes)
+            if name not in CHANGEABLE and getattr(self, name) != getattr(changed, name):
+                raise SettingsError(f"setting {name!r} can't be changed while the scheduler runs")
+        if len(self.tenants) != len(changed.tenants):
+            raise SettingsError("the number of 'tenants' can't be changed while the scheduler runs")
+        without_changeable = tuple(
+            replace(new, aim=old.aim, stretch=old.stretch) for old, new in zip(self.classes, changed.classes)
         )
-        if self.classes != after or len(self.classes) != len(told.classes):
-            raise SettingsError("setting 'classes' can change aim and stretch alone at work")
+        if self.classes != without_changeable or len(self.classes) != len(changed.classes):
+            raise SettingsError("only aim and stretch of 'classes' can be changed while the scheduler runs")
 
 
-Report = Mapping[str, float]
+Report = Mapping[str, float]  # values that a worker reports about itself, by name
 
 
 class Actions(Protocol):
-    """What a balancer asks its scheduler to do; attempts count from 0 in the order of `send`."""
+    """The calls that a balancer makes on its scheduler.
+
+    A request's attempts are numbered from 0 in the order of `send`.  Times are microseconds.
+    """
 
     def send(self, job: str, worker: int, until: int, by: int = 0) -> None:
-        """An attempt; it is given up at `until` (0: at the deadline), and ends as `MOOT` if its last byte has
-        not left at `by`, beyond which it might no longer be known for a repeat."""
+        """Sends an attempt of the request `job` to a worker.
+
+        The scheduler gives the attempt up at the time `until` (0: at the request's deadline).  If the last
+        byte has not left at the time `by` (0: no limit), the attempt ends as `MOOT`: a worker might no longer
+        recognise it as a repeat.
+        """
 
     def refuse(self, job: str, retry_after: int) -> None:
-        """The request's final answer: it is turned down.  `retry_after`: microseconds after which its client
-        may ask again, 0 where nothing is advised."""
+        """Ends the request with a refusal.
+
+        `retry_after`: microseconds after which the client may try again; 0: no advice.
+        """
 
     def fail(self, job: str) -> None:
-        """The request's final answer: no result."""
+        """Ends the request without a result."""
 
     def cancel(self, job: str, attempt: int) -> None:
-        """Gives up an attempt; its outcome, `CANCELLED` or what came first, is still told."""
+        """Gives up an attempt.  Its outcome still follows: `CANCELLED`, or whatever came first."""
 
     def probe(self, worker: int) -> None:
-        """Asks a worker whether it is up and how loaded it is; the answer is an event, once."""
+        """Asks a worker for its health and load.  Exactly one event answers."""
 
     def tell(self, data: bytes, to: int | None = None) -> None:
-        """To one peer by its number, or to every peer; may be lost."""
+        """Sends a message to the scheduler with number `to`, or to all others.  Messages may be lost."""
 
     def watch(self) -> None:
-        """Asks for the list or its changes; the answer is an event."""
+        """Requests the list of workers or its changes.  An event answers."""
 
     def arm(self, time: int) -> None:
-        """The event `wake` is to come at `time`, microseconds on the module's clock, or soon after."""
+        """Schedules the event `wake` for `time` or soon after."""
