--- a/tests/test_benchlink.py
+++ b/tests/test_benchlink.py
@@ -1,4 +1,4 @@
-"""The wire, against lines written here."""
+"""The simulator's adapter: its input and output lines, errors and exit status."""
 
 from __future__ import annotations
 
@@ -9,10 +9,11 @@
 
 import pytest
 
-from violetsaddle.benchlink import Host, WireError, settings
+from violetsaddle.benchlink import Host, WireError
 from violetsaddle.interface import SettingsError
+from violetsaddle.settings import parse
 
-ENV = {
+SETTINGS = {
     "requestClasses": [{"target": 100000, "deadline": 900000, "idempotency": "retryable", "new": 1}],
     "failureDomains": ["p", "q"],
     "familyInfo": {"reportX0": "free slots"},
@@ -21,34 +22,34 @@
     "unknown": {"a": 1},
 }
 START = (
-    f"CLOCK 5000\nNEW_INSTANCE scheduler/0 77 {json.dumps(ENV)}\n"
+    f"CLOCK 5000\nNEW_INSTANCE scheduler/0 77 {json.dumps(SETTINGS)}\n"
     "TARGETS scheduler/0 disk 1 2\nENTRY 0 1 0 51 0 - active\nENTRY 0 1.5 1 52 0 - leaving\nFLUSH\n"
 )
 
 
-def talk(text: str) -> list[str]:
+def run_host(text: str) -> list[str]:
     sink = io.StringIO()
     Host(io.StringIO(text), sink).run()
     return sink.getvalue().splitlines()
 
 
-def test_a_request_is_placed_and_answered() -> None:
-    said = talk(
+def test_a_request_is_placed_and_its_answer_accepted() -> None:
+    output = run_host(
         START + "CLOCK 7000\nINCOMING scheduler/0 c:a 0 - - 1 - 0 0 - 900000 0\nFLUSH\n"
         "CLOCK 9000\nANSWER scheduler/0 c:a 0 51 done 2000 1 - x0:3,utilization:0.5\nFLUSH\n"
     )
-    assert "PLACE scheduler/0 c:a 0 51" in said
-    assert said.count("NEXT") == 3 and not any("INTERNAL_ERROR" in s for s in said)
+    assert "PLACE scheduler/0 c:a 0 51" in output
+    assert output.count("NEXT") == 3 and not any("INTERNAL_ERROR" in line for line in output)
 
 
-def test_report_values_are_named_by_what_they_mean() -> None:
-    fields, told = settings(json.dumps(ENV))
-    assert fields == {"x0": "free_slots", "utilization": "util"}
-    assert told.report == {"free_slots", "util"} and told.zones == 2
+def test_report_values_are_renamed() -> None:
+    report_names, settings = parse(json.dumps(SETTINGS))
+    assert report_names == {"x0": "free_slots", "utilization": "util"}
+    assert settings.report == {"free_slots", "util"} and settings.zones == 2
 
 
 @pytest.mark.parametrize(
-    "text, fault",
+    "text, message",
     [
         ("CLOCK x\n", "x"),
         ("HELLO\n", "CLOCK"),
@@ -61,18 +62,18 @@
         (START + "CLOCK 2\nTARGETS scheduler/0 odd 2 0\nFLUSH\n", "TARGETS"),
     ],
 )
-def test_bad_input_is_named(text: str, fault: str) -> None:
-    with pytest.raises((WireError, ValueError), match=fault):
-        talk(text)
+def test_an_error_names_the_malformed_input(text: str, message: str) -> None:
+    with pytest.raises((WireError, ValueError), match=message):
+        run_host(text)
 
 
-def test_a_fault_of_the_policy_is_reported_as_one() -> None:
-    said = talk(START + "CLOCK 7000\nINCOMING scheduler/0 c:a 0 - - 1 8 0 0 - 900000 0\nFLUSH\n")
-    assert any(s.startswith("INTERNAL_ERROR scheduler/0 EventError") for s in said)
+def test_an_error_in_the_balancer_is_reported_to_the_simulator() -> None:
+    output = run_host(START + "CLOCK 7000\nINCOMING scheduler/0 c:a 0 - - 1 8 0 0 - 900000 0\nFLUSH\n")
+    assert any(line.startswith("INTERNAL_ERROR scheduler/0 EventError") for line in output)
 
 
 @pytest.mark.parametrize(
-    "change, fault",
+    "change, message",
     [
         ({"siblings": 0}, "schedulers"),
         ({"siblings": "many"}, "siblings"),
@@ -81,9 +82,9 @@
         ({"permissions": 3}, "permissions"),
     ],
 )
-def test_invalid_settings_name_the_key(change: dict[str, object], fault: str) -> None:
-    with pytest.raises(SettingsError, match=fault):
-        settings(json.dumps({**ENV, **change}))
+def test_invalid_settings_name_the_key(change: dict[str, object], message: str) -> None:
+    with pytest.raises(SettingsError, match=message):
+        parse(json.dumps({**SETTINGS, **change}))
 
 
 @pytest.mark.parametrize("text, code", [("", 0), (START, 0), (START + "CLOCK 7\nNOTHING\n", 2)])
@@ -99,11 +100,11 @@
     assert bool(run.stderr) == bool(code)
 
 
-def test_same_actions_whatever_the_hash_seed() -> None:
+def test_actions_do_not_depend_on_the_hash_seed() -> None:
     text = START + "".join(
         f"CLOCK {9000 + n}\nINCOMING scheduler/0 c:{n} 0 - {n} 1 - 0 0 - 900000 0\nFLUSH\n" for n in range(50)
     )
-    outs = {
+    outputs = {
         subprocess.run(
             [sys.executable, "-m", "violetsaddle.benchlink"],
             input=text,
@@ -114,4 +115,4 @@
         ).stdout
         for seed in range(3)
     }
-    assert len(outs) == 1
+    assert len(outputs) == 1
--- a/violetsaddle/benchlink.py
+++ b/violetsaddle/benchlink.py
@@ -1,5 +1,8 @@
-"""Adapter: hosts balancers on the simulator's wire.  It turns lines into events and actions into
-lines, and decides nothing."""
+"""Adapter between the simulator and balancers, over text lines on stdin and stdout.
+
+Input lines become events of balancers, and their actions become output lines.  Input comes in batches:
+`CLOCK` with the time, one line per event, then `FLUSH`.  The output for a batch is its actions, then `NEXT`.
+"""
 
 from __future__ import annotations
 
@@ -9,9 +12,9 @@
 
 from violetsaddle import interface as api
 from violetsaddle.policy import Balancer
-from violetsaddle.settings import settings as settings
+from violetsaddle.settings import parse as parse_settings
 
-OUTCOME = {
+OUTCOMES = {
     "done": api.OK,
     "err": api.ERROR,
     "busy": api.FULL,
@@ -21,92 +24,126 @@
     "ecanceled": api.CANCELLED,
     "skipped": api.MOOT,
 }
-STATE = {"active": api.ACTIVE, "leaving": api.DRAINING, "left": api.GONE}
-LIST_KIND = {"diff": api.DIFF, "snapshot": api.SNAPSHOT, "disk": api.DISK, "error": api.LIST_ERROR}
-MOST_CACHED = 20_000  # entries; the same list lines go to every instance of a batch
+WORKER_STATES = {"active": api.ACTIVE, "leaving": api.DRAINING, "left": api.GONE}
+LIST_KINDS = {"diff": api.DIFF, "snapshot": api.SNAPSHOT, "disk": api.DISK, "error": api.LIST_ERROR}
+MAX_CACHED_ENTRIES = 20_000  # every instance of a batch gets the same list lines
 
 
 class WireError(Exception):
-    """What came in does not follow the wire."""
+    """The input does not follow the protocol."""
 
 
 class Instance:
-    """One balancer and the lines of its actions."""
+    """One balancer.  It writes its actions as lines to a list that all instances share."""
+
+    def __init__(self, name: str, text: str, seed: int, now: int, output: list[str]) -> None:
+        """Starts a balancer with the settings in `text`, which are JSON; raises `SettingsError`.
+
+        `now`: time in microseconds.  `output`: gets the lines of actions, without line ends.
+        """
+        self.name, self.output = name, output
+        self.report_names, parsed = parse_settings(text)
+        self.balancer = Balancer(parsed, seed, now, self)
 
-    def __init__(self, name: str, text: str, seed: int, now: int, out: list[str]) -> None:
-        self.name, self.out = name, out
-        self.fields, told = settings(text)
-        self.balancer = Balancer(told, seed, now, self)
+    # Actions; `violetsaddle.interface.Actions` describes them.
 
     def send(self, job: str, worker: int, until: int, by: int = 0) -> None:
-        self.out.append(f"PLACE {self.name} {job} {until} {worker}")
+        """Writes PLACE; the simulator has no equivalent of `by`."""
+        self.output.append(f"PLACE {self.name} {job} {until} {worker}")
 
     def refuse(self, job: str, retry_after: int) -> None:
-        self.out.append(f"REJECT {self.name} {job} {retry_after}")
+        """Writes REJECT."""
+        self.output.append(f"REJECT {self.name} {job} {retry_after}")
 
     def fail(self, job: str) -> None:
-        self.out.append(f"FINISH_ERROR {self.name} {job}")
+        """Writes FINISH_ERROR."""
+        self.output.append(f"FINISH_ERROR {self.name} {job}")
 
     def cancel(self, job: str, attempt: int) -> None:
-        self.out.append(f"CANCEL {self.name} {job} {attempt}")
+        """Writes CANCEL."""
+        self.output.append(f"CANCEL {self.name} {job} {attempt}")
 
     def probe(self, worker: int) -> None:
-        self.out.append(f"HEALTH_CHECK {self.name} {worker}")
+        """Writes HEALTH_CHECK."""
+        self.output.append(f"HEALTH_CHECK {self.name} {worker}")
 
     def tell(self, data: bytes, to: int | None = None) -> None:
-        self.out.append(f"PUBLISH {self.name} {'*' if to is None else to} {data.hex()}")
+        """Writes PUBLISH; `*` addresses all schedulers, and `data` is written in hexadecimal."""
+        self.output.append(f"PUBLISH {self.name} {'*' if to is None else to} {data.hex()}")
 
     def watch(self) -> None:
-        self.out.append(f"FOLLOW {self.name} 1")
+        """Writes FOLLOW."""
+        self.output.append(f"FOLLOW {self.name} 1")
 
     def arm(self, time: int) -> None:
-        self.out.append(f"ARM {self.name} {time} t")
+        """Writes ARM, with the token `t`."""
+        self.output.append(f"ARM {self.name} {time} t")
 
-    def report(self, text: str) -> dict[str, float] | None:
+    def parse_report(self, text: str) -> dict[str, float] | None:
+        """Values by name from `name:value,...`; None for `-`, which means no report."""
         if text == "-":
             return None
         named = {}
         for pair in text.split(","):
             name, _, value = pair.partition(":")
-            named[self.fields.get(name, name)] = float(value)
+            named[self.report_names.get(name, name)] = float(value)
         return named
 
-    # Events: the values of a line, in the order of the wire.
+    # Events.  `values` are the fields of the line, and the first is the message type.
 
-    def on_request(self, now: int, v: list[str]) -> None:
+    def on_request(self, now: int, values: list[str]) -> None:
+        """INCOMING: a request has arrived."""
         self.balancer.request(
             now,
-            v[2],
-            int(v[12]),
-            int(v[11]),
-            0 if v[7] == "-" else int(v[7]),
-            1.0 if v[6] == "-" else float(v[6]),
-            None if v[5] == "-" else int(v[5]),
-            0 if v[10] == "-" else int(v[10]),
+            values[2],
+            int(values[12]),
+            int(values[11]),
+            0 if values[7] == "-" else int(values[7]),
+            1.0 if values[6] == "-" else float(values[6]),
+            None if values[5] == "-" else int(values[5]),
+            0 if values[10] == "-" else int(values[10]),
         )
 
-    def on_answer(self, now: int, v: list[str]) -> None:
-        self.balancer.answer(now, v[2], int(v[3]), OUTCOME[v[5]], int(v[6]), v[7] == "1", self.report(v[9]))
+    def on_answer(self, now: int, values: list[str]) -> None:
+        """ANSWER: an attempt has ended."""
+        self.balancer.answer(
+            now,
+            values[2],
+            int(values[3]),
+            OUTCOMES[values[5]],
+            int(values[6]),
+            values[7] == "1",
+            self.parse_report(values[9]),
+        )
 
-    def on_note(self, now: int, v: list[str]) -> None:
-        self.balancer.note(now, v[2], int(v[3]), int(v[5]), 0.0 if v[6] == "-" else float(v[6]))
+    def on_note(self, now: int, values: list[str]) -> None:
+        """NOTE: an attempt has started or made progress."""
+        self.balancer.note(
+            now, values[2], int(values[3]), int(values[5]), 0.0 if values[6] == "-" else float(values[6])
+        )
 
-    def on_wake(self, now: int, v: list[str]) -> None:
+    def on_wake(self, now: int, values: list[str]) -> None:
+        """WAKE: an armed time has come."""
         self.balancer.wake(now)
 
-    def on_probed(self, now: int, v: list[str]) -> None:
-        self.balancer.probed(now, int(v[2]), OUTCOME[v[3]] == api.OK, self.report(v[5]))
+    def on_probed(self, now: int, values: list[str]) -> None:
+        """SAMPLED: a probe has ended."""
+        self.balancer.probed(now, int(values[2]), OUTCOMES[values[3]] == api.OK, self.parse_report(values[5]))
 
-    def on_peer(self, now: int, v: list[str]) -> None:
-        self.balancer.heard(now, int(v[2]), bytes.fromhex(v[3].replace("-", "")))
+    def on_peer(self, now: int, values: list[str]) -> None:
+        """FROM_PEER: another scheduler has sent a message."""
+        self.balancer.heard(now, int(values[2]), bytes.fromhex(values[3].replace("-", "")))
 
-    def on_first(self, now: int, v: list[str]) -> None:
-        self.balancer.stream_began(now, v[2], int(v[3]))
+    def on_stream_began(self, now: int, values: list[str]) -> None:
+        """OPENED: the answer of an attempt has begun to stream."""
+        self.balancer.stream_began(now, values[2], int(values[3]))
 
-    def on_gone(self, now: int, v: list[str]) -> None:
-        self.balancer.gone(now, v[2])
+    def on_gone(self, now: int, values: list[str]) -> None:
+        """DROPPED: a request's client has left."""
+        self.balancer.gone(now, values[2])
 
 
+# Message types of events: the handler and the number of fields, with the type itself.
 HANDLERS: dict[str, tuple[Callable[[Instance, int, list[str]], None], int]] = {
     "INCOMING": (Instance.on_request, 13),
     "ANSWER": (Instance.on_answer, 10),
@@ -114,115 +151,139 @@
     "WAKE": (Instance.on_wake, 3),
     "SAMPLED": (Instance.on_probed, 6),
     "FROM_PEER": (Instance.on_peer, 4),
-    "OPENED": (Instance.on_first, 6),
+    "OPENED": (Instance.on_stream_began, 6),
     "DROPPED": (Instance.on_gone, 3),
 }
 
 
 class Host:
-    """All instances of this process, and the loop over batches."""
+    """The instances of this process and the loop that reads batches."""
 
     def __init__(self, source: TextIO, sink: TextIO) -> None:
+        """`source` and `sink`: the simulator's lines and the answers to them."""
         self.source, self.sink = source, sink
         self.instances: dict[str, Instance] = {}
-        self.out: list[str] = []
+        self.output: list[str] = []
         self.entries: dict[str, api.Entry] = {}
 
     def run(self) -> None:
+        """Handles batches until the input ends; raises `WireError`, `SettingsError` or `ValueError`."""
         source = self.source
         while line := source.readline():
-            head = line.split()
-            if not head:
+            fields = line.split()
+            if not fields:
                 continue
-            if len(head) != 2 or head[0] != "CLOCK":
-                raise WireError(f"a batch opens with CLOCK and a time, not {line[:80]!r}")
-            self.batch(int(head[1]))
-            self.out.append("NEXT\n")
-            self.sink.write("\n".join(self.out))
+            if len(fields) != 2 or fields[0] != "CLOCK":
+                raise WireError(f"a batch starts with CLOCK and a time, not {line[:80]!r}")
+            self.batch(int(fields[1]))
+            self.output.append("NEXT\n")
+            self.sink.write("\n".join(self.output))
             self.sink.flush()
-            self.out.clear()
+            self.output.clear()
 
     def batch(self, now: int) -> None:
+        """Handles the lines of one batch, up to and including FLUSH."""
         source, instances = self.source, self.instances
         while True:
             line = source.readline()
             if not line.endswith("\n"):
                 raise WireError("the input ends within a batch")
-            v = line[:-1].split(" ")
-            found = HANDLERS.get(v[0])
-            if found is not None:
-                if len(v) != found[1]:
-                    raise WireError(f"{v[0]} takes {found[1] - 1} values, not {len(v) - 1}")
-                instance = instances.get(v[1])
+            values = line[:-1].split(" ")
+            handler = HANDLERS.get(values[0])
+            if handler is not None:
+                if len(values) != handler[1]:
+                    raise WireError(f"{values[0]} takes {handler[1] - 1} values, not {len(values) - 1}")
+                instance = instances.get(values[1])
                 if instance is None:
-                    raise WireError(f"{v[0]} for {v[1]}, which does not run")
+                    raise WireError(f"{values[0]} for {values[1]}, which is not running")
                 try:
-                    found[0](instance, now, v)
+                    handler[0](instance, now, values)
                 except (ValueError, KeyError) as error:
                     if isinstance(error, api.EventError):
-                        self.fault(v[1], error)
+                        self.report_error(values[1], error)
                     else:
-                        self.malformed(instance, v, error)
+                        self.handle_value_error(instance, values, error)
                 except Exception as error:
-                    self.fault(v[1], error)
-            elif v[0] == "FLUSH":
+                    self.report_error(values[1], error)
+            elif values[0] == "FLUSH":
                 return
             else:
-                self.rare(now, line[:-1], v)
+                self.handle_control(now, line[:-1], values)
+
+    def report_error(self, name: str, error: Exception) -> None:
+        """Tells the simulator that the balancer of instance `name` raised an exception."""
+        self.output.append(f"INTERNAL_ERROR {name} {type(error).__name__}: {error}".replace("\n", " "))
 
-    def fault(self, name: str, error: Exception) -> None:
-        self.out.append(f"INTERNAL_ERROR {name} {type(error).__name__}: {error}".replace("\n", " "))
+    def handle_value_error(self, instance: Instance, values: list[str], error: Exception) -> None:
+        """Attributes an exception to the input or to the balancer, by where it was raised.
 
-    def malformed(self, instance: Instance, v: list[str], error: Exception) -> None:
-        """A value that cannot be read is the wire's fault; what the policy raised is its own."""
+        Raises `WireError` if this module raised it while it converted a value; reports it otherwise.
+        """
         tb = error.__traceback__
         while tb is not None and tb.tb_next is not None:
             tb = tb.tb_next
         if tb is not None and tb.tb_frame.f_code.co_filename == __file__:
-            raise WireError(f"{v[0]}: {type(error).__name__}: {error}") from None
-        self.fault(instance.name, error)
-
-    def rare(self, now: int, line: str, v: list[str]) -> None:
-        if v[0] == "TARGETS":
-            self.on_list(now, v)
-        elif v[0] == "NEW_INSTANCE":
+            raise WireError(f"{values[0]}: {type(error).__name__}: {error}") from None
+        self.report_error(instance.name, error)
+
+    def handle_control(self, now: int, line: str, values: list[str]) -> None:
+        """Handles a message that is not an event of a running instance, or raises `WireError`."""
+        if values[0] == "TARGETS":
+            self.on_list(now, values)
+        elif values[0] == "NEW_INSTANCE":
             parts = line.split(" ", 3)
             if len(parts) != 4:
                 raise WireError("NEW_INSTANCE takes 3 values")
-            self.instances[parts[1]] = Instance(parts[1], parts[3], int(parts[2]), now, self.out)
-        elif v[0] == "POWER_OFF" and len(v) == 2:
-            self.instances.pop(v[1], None)
+            self.instances[parts[1]] = Instance(parts[1], parts[3], int(parts[2]), now, self.output)
+        elif values[0] == "POWER_OFF" and len(values) == 2:
+            self.instances.pop(values[1], None)
         else:
             raise WireError(f"unknown or malformed message {line[:80]!r}")
 
-    def on_list(self, now: int, v: list[str]) -> None:
-        if len(v) != 5 or v[2] not in LIST_KIND:
-            raise WireError(f"malformed TARGETS {' '.join(v)[:80]!r}")
+    def on_list(self, now: int, values: list[str]) -> None:
+        """TARGETS: a list event; the ENTRY lines that belong to it follow."""
+        if len(values) != 5 or values[2] not in LIST_KINDS:
+            raise WireError(f"malformed TARGETS {' '.join(values)[:80]!r}")
         cached, entries = self.entries, []
-        for _ in range(0 if v[4] == "-" else int(v[4])):
+        for _ in range(0 if values[4] == "-" else int(values[4])):
             line = self.source.readline()
             entry = cached.get(line)
             if entry is None:
-                if len(cached) >= MOST_CACHED:
+                if len(cached) >= MAX_CACHED_ENTRIES:
                     cached.clear()
-                entry = cached[line] = self.entry(line)
+                entry = cached[line] = self.parse_entry(line)
             entries.append(entry)
-        if v[1] not in self.instances:
-            raise WireError(f"TARGETS for {v[1]}, which does not run")
+        if values[1] not in self.instances:
+            raise WireError(f"TARGETS for {values[1]}, which is not running")
         try:
-            self.instances[v[1]].balancer.members(now, LIST_KIND[v[2]], entries)
+            self.instances[values[1]].balancer.members(now, LIST_KINDS[values[2]], entries)
         except Exception as error:
-            self.fault(v[1], error)
+            self.report_error(values[1], error)
 
     @staticmethod
-    def entry(line: str) -> api.Entry:
-        e = ["0" if x == "-" else x for x in line.rstrip("\n").split(" ")]
-        if len(e) != 8 or e[0] != "ENTRY" or e[7] not in STATE or not line.endswith("\n"):
+    def parse_entry(line: str) -> api.Entry:
+        """The worker of an ENTRY line; raises `WireError` or `ValueError`."""
+        fields = ["0" if field == "-" else field for field in line.rstrip("\n").split(" ")]
+        if (
+            len(fields) != 8
+            or fields[0] != "ENTRY"
+            or fields[7] not in WORKER_STATES
+            or not line.endswith("\n")
+        ):
             raise WireError(f"malformed ENTRY {line[:80]!r}")
-        return api.Entry(int(e[4]), int(e[3]), int(e[1]), int(e[5]), float(e[2]), int(e[6]), STATE[e[7]])
+        return api.Entry(
+            int(fields[4]),
+            int(fields[3]),
+            int(fields[1]),
+            int(fields[5]),
+            float(fields[2]),
+            int(fields[6]),
+            WORKER_STATES[fields[7]],
+        )
 
 
 def main() -> int:
+    """Runs the adapter on stdin and stdout; returns the exit status, 2 after invalid input."""
     try:
         Host(sys.stdin, sys.stdout).run()
     except (WireError, api.SettingsError, ValueError) as error:
