--- a/violetsaddle/decide/proof.py
+++ b/violetsaddle/decide/proof.py
@@ -1,23 +1,23 @@
-"""What is proven of an attempt: its life, and the outcome that each word about it allows.
+"""What is known about an attempt: its state, and the outcome that each piece of evidence allows.
 
-A request may be sent again, or refused, only on proof that no earlier attempt of it ran.  What counts
-as proof is the table of PROTOCOL ("what comes back"); here it is one table over the attempt's life, under
-these rules, which the table of outcomes alone leaves open:
+A request may be sent again, or refused, only if it is proven that no earlier attempt of it ran.  PROTOCOL
+("what comes back") has the table of outcomes.  This module has one table over the states of an attempt.  It
+also follows these rules, which PROTOCOL leaves open:
 
 - Before the last byte has left, nothing that a real server says can be about this attempt: callbacks are
-  passed over, and the end of the connection proves that it never ran.
-- "Never ran" (`RETURNED`, `TURNED_AWAY`) after a start was told is a contradiction and proves nothing: it may
-  have run.
-- An answer that the protocol does not know says neither that the job was taken nor that it was not: it may be
-  running, and is given up before anything else may leave.
-- An answer that was cut proves nothing but that it was cut: the real server may have taken the job and
-  believe that it said so.  The job is given up before anything else may leave, as it is after an odd answer.
-- A connection that broke before any answer may have taken a 202 along, and may have broken by a call that
-  failed here.  The job is given up before another attempt leaves.
-- A job counts as given up once its DELETE is answered, not when the connection was closed or nothing came.
-- What has ended stays as it ended.
-
-`tests/test_repeats.py` searches all lives of a request under all effects from outside."""
+  ignored, and the end of the connection proves that the attempt never ran.
+- `RETURNED` and `TURNED_AWAY` mean that the attempt never ran.  After `STARTED` they are a contradiction: the
+  attempt may have run.
+- After an answer that the protocol does not define, the job may or may not run.  It is given up before
+  another attempt may leave.
+- A truncated answer proves nothing: the real server may have accepted the job and believe that it said so.
+  The job is given up before another attempt may leave.
+- A connection that ended before any answer may have lost a 202, or may have ended because a system call
+  failed in this node.  The job is given up before another attempt leaves.
+- A job is given up once its DELETE is answered.  A closed connection or silence does not prove it.
+- An attempt that has ended keeps its outcome.
+
+`tests/test_repeats.py` checks all effects over generated orders of events."""
 
 from __future__ import annotations
 
@@ -27,27 +27,27 @@
 from violetsaddle import interface as api
 
 
-class Life(enum.StrEnum):  # as text it is hashed without a call
-    """How far an attempt has come, as far as is proven."""
+class AttemptState(enum.StrEnum):  # a str hashes without a Python call, and attempts look it up often
+    """How far an attempt has come, as far as is proven.  Logs contain the values."""
 
-    UNSENT = "unsent"  # its last byte has not left
-    SENT = "sent"  # it has; no answer yet
-    TAKEN = "taken"  # the real server has answered that it has the job, or it must be taken to have it
-    RUNS = "runs"  # it has told of the start
-    ENDED = "ended"  # its one outcome is known
+    UNSENT = "unsent"  # the last byte has not left
+    SENT = "sent"  # the last byte has left, and there is no answer yet
+    ACCEPTED = "taken"  # the real server has the job, or must be assumed to have it
+    RUNNING = "runs"  # the real server has reported the start
+    ENDED = "ended"  # the outcome is final
 
 
-class Word(enum.StrEnum):
-    """What is heard of an attempt: from its connection, in an answer, or in a callback."""
+class Evidence(enum.StrEnum):
+    """What a connection, an answer or a callback shows about an attempt."""
 
     WRITTEN = "the kernel has taken the last byte"
-    UNREACHED = "no connection came up"
-    BROKE = "the connection ended before any answer"
-    CUT = "the connection ended within an answer"
+    NOT_CONNECTED = "no connection came up"
+    DISCONNECTED = "the connection ended before any answer"
+    TRUNCATED = "the connection ended within an answer"
     ACCEPTED = "202"
     TURNED_AWAY = "503 or 504 with X-Turned-Away"
-    ERRED = "500"
-    ODD = "an answer that the protocol does not know"
+    SERVER_ERROR = "500"
+    UNEXPECTED = "an answer that the protocol does not know"
     STARTED = "started, or running"
     DONE = "done"
     FAILED = "failed"
@@ -56,78 +56,80 @@
 
 
 class Release(enum.StrEnum):
-    """What shows that an attempt was given up."""
+    """Whether and how it is known that an attempt was given up."""
 
-    NONE = "none"  # it was not
-    CLOSED = "closed"  # its connection alone: its last byte had not left, or no DELETE is allowed
-    CONFIRMED = "confirmed"  # its DELETE was answered
-    UNCONFIRMED = "unconfirmed"  # its DELETE was not
+    NONE = "none"  # not given up
+    CLOSED = "closed"  # only its connection was closed: the last byte had not left, or DELETE is not allowed
+    CONFIRMED = "confirmed"  # the DELETE was answered
+    UNCONFIRMED = "unconfirmed"  # the DELETE was not answered
 
 
-CALLBACKS = frozenset((Word.STARTED, Word.DONE, Word.FAILED, Word.RETURNED, Word.LOST))
+CALLBACKS = frozenset((Evidence.STARTED, Evidence.DONE, Evidence.FAILED, Evidence.RETURNED, Evidence.LOST))
 
 
-class Step(NamedTuple):
-    """What a word makes of an attempt."""
+class Transition(NamedTuple):
+    """What a piece of evidence changes about an attempt."""
 
-    life: Life
-    outcome: str = ""  # of the interface; "": none yet
-    give_up: bool = False  # first the real server is told that the job is not wanted: it may still run
-    tell_before_repeat: bool = False  # the same, where another attempt may follow
+    state: AttemptState
+    outcome: str = ""  # an outcome of the interface; "": none yet
+    give_up: bool = False  # the job may still run: it is given up before the outcome counts
+    give_up_before_repeat: bool = False  # the same, but only if another attempt may follow
 
 
-_TAKEN = {
-    Word.DONE: Step(Life.ENDED, api.OK),
-    Word.FAILED: Step(Life.ENDED, api.ERROR),
-    Word.LOST: Step(Life.ENDED, api.RESET),
-    Word.STARTED: Step(Life.RUNS),
+_CALLBACK_TRANSITIONS = {
+    Evidence.DONE: Transition(AttemptState.ENDED, api.OK),
+    Evidence.FAILED: Transition(AttemptState.ENDED, api.ERROR),
+    Evidence.LOST: Transition(AttemptState.ENDED, api.RESET),
+    Evidence.STARTED: Transition(AttemptState.RUNNING),
 }
-_ERRED = {Word.ERRED: Step(Life.ENDED, api.ERROR)}
-# What a word makes of an attempt; one that is not here proves nothing, and is passed over.
-TABLE: dict[Life, dict[Word, Step]] = {
-    Life.UNSENT: {
-        Word.WRITTEN: Step(Life.SENT),
-        Word.UNREACHED: Step(Life.ENDED, api.CONNECT_FAILED),
-        Word.BROKE: Step(Life.ENDED, api.CONNECT_FAILED),
-        Word.CUT: Step(Life.ENDED, api.CONNECT_FAILED),
+_SERVER_ERROR_TRANSITION = {Evidence.SERVER_ERROR: Transition(AttemptState.ENDED, api.ERROR)}
+# Evidence that is missing for a state proves nothing and is ignored.
+TRANSITIONS: dict[AttemptState, dict[Evidence, Transition]] = {
+    AttemptState.UNSENT: {
+        Evidence.WRITTEN: Transition(AttemptState.SENT),
+        Evidence.NOT_CONNECTED: Transition(AttemptState.ENDED, api.CONNECT_FAILED),
+        Evidence.DISCONNECTED: Transition(AttemptState.ENDED, api.CONNECT_FAILED),
+        Evidence.TRUNCATED: Transition(AttemptState.ENDED, api.CONNECT_FAILED),
     },
-    Life.SENT: _TAKEN
-    | _ERRED
+    AttemptState.SENT: _CALLBACK_TRANSITIONS
+    | _SERVER_ERROR_TRANSITION
     | {
-        Word.BROKE: Step(Life.SENT, api.RESET, tell_before_repeat=True),
-        Word.ACCEPTED: Step(Life.TAKEN),
-        Word.TURNED_AWAY: Step(Life.ENDED, api.FULL),
-        Word.RETURNED: Step(Life.ENDED, api.FULL),
-        Word.ODD: Step(Life.TAKEN, api.ERROR, give_up=True),
-        Word.CUT: Step(Life.SENT, api.RESET, give_up=True),
+        Evidence.DISCONNECTED: Transition(AttemptState.SENT, api.RESET, give_up_before_repeat=True),
+        Evidence.ACCEPTED: Transition(AttemptState.ACCEPTED),
+        Evidence.TURNED_AWAY: Transition(AttemptState.ENDED, api.FULL),
+        Evidence.RETURNED: Transition(AttemptState.ENDED, api.FULL),
+        Evidence.UNEXPECTED: Transition(AttemptState.ACCEPTED, api.ERROR, give_up=True),
+        Evidence.TRUNCATED: Transition(AttemptState.SENT, api.RESET, give_up=True),
     },
-    Life.TAKEN: _TAKEN
+    AttemptState.ACCEPTED: _CALLBACK_TRANSITIONS
     | {
-        Word.RETURNED: Step(Life.ENDED, api.FULL),
+        Evidence.RETURNED: Transition(AttemptState.ENDED, api.FULL),
     },
-    Life.RUNS: _TAKEN
-    | _ERRED
+    AttemptState.RUNNING: _CALLBACK_TRANSITIONS
+    | _SERVER_ERROR_TRANSITION
     | {
-        Word.BROKE: Step(Life.RUNS, api.RESET, tell_before_repeat=True),
-        Word.ACCEPTED: Step(Life.RUNS),  # callbacks may precede it
-        Word.TURNED_AWAY: Step(Life.RUNS, api.ERROR, give_up=True),
-        Word.RETURNED: Step(Life.RUNS, api.ERROR, give_up=True),
-        Word.ODD: Step(Life.RUNS, api.ERROR, give_up=True),
-        Word.CUT: Step(Life.RUNS, api.RESET, give_up=True),
+        Evidence.DISCONNECTED: Transition(AttemptState.RUNNING, api.RESET, give_up_before_repeat=True),
+        Evidence.ACCEPTED: Transition(AttemptState.RUNNING),  # callbacks may arrive before the 202
+        Evidence.TURNED_AWAY: Transition(AttemptState.RUNNING, api.ERROR, give_up=True),
+        Evidence.RETURNED: Transition(AttemptState.RUNNING, api.ERROR, give_up=True),
+        Evidence.UNEXPECTED: Transition(AttemptState.RUNNING, api.ERROR, give_up=True),
+        Evidence.TRUNCATED: Transition(AttemptState.RUNNING, api.RESET, give_up=True),
     },
-    Life.ENDED: {},
+    AttemptState.ENDED: {},
 }
 
 
 def confirms_release(status: int, fresh: bool) -> bool:
-    """Whether an answer to a DELETE says that the job was given up, or that there is none.
+    """Whether the HTTP status of an answer to a DELETE proves that the server does not have the job any more.
 
-    `fresh`: it came on a connection of its own.  Elsewhere a 202 may be the late answer to a job."""
+    `fresh`: the DELETE had a new connection.  On a kept connection a 202 may be the late answer to a job."""
     return (200 <= status < 300 and (fresh or status != 202)) or status in (404, 410)
 
 
-def answered(status: int, turned_away: str | None) -> Word:
-    """The word that a real server's answer to a job is, other than 202."""
+def classify_answer(status: int, turned_away: str | None) -> Evidence:
+    """The evidence in a real server's answer to a job, other than a 202.
+
+    `turned_away`: the header `X-Turned-Away`, None if it is missing."""
     if status in (503, 504) and turned_away == "1":
-        return Word.TURNED_AWAY
-    return Word.ERRED if status == 500 else Word.ODD
+        return Evidence.TURNED_AWAY
+    return Evidence.SERVER_ERROR if status == 500 else Evidence.UNEXPECTED
--- a/violetsaddle/net/audit.py
+++ b/violetsaddle/net/audit.py
@@ -9,7 +9,7 @@
 from collections.abc import Sequence
 from typing import Protocol
 
-from violetsaddle.decide.proof import Life, Release
+from violetsaddle.decide.proof import AttemptState, Release
 from violetsaddle.net.counters import Counters
 from violetsaddle.net.deadlines import Deadlines
 from violetsaddle.net.limits import MS, SECOND
@@ -24,8 +24,8 @@
     number: int
     name: str
     sent: int
-    life: Life
-    last_life: Life
+    life: AttemptState
+    last_life: AttemptState
     outcome: str
     release: Release
 
--- a/violetsaddle/net/callbacks.py
+++ b/violetsaddle/net/callbacks.py
@@ -6,18 +6,18 @@
 from typing import TYPE_CHECKING, Any
 
 from violetsaddle import interface as api
-from violetsaddle.decide.proof import Word
+from violetsaddle.decide.proof import Evidence
 
 if TYPE_CHECKING:
     from violetsaddle.net.edge import Shared
 
 STATES = {
-    "started": Word.STARTED,
-    "running": Word.STARTED,
-    "done": Word.DONE,
-    "failed": Word.FAILED,
-    "returned": Word.RETURNED,
-    "lost": Word.LOST,
+    "started": Evidence.STARTED,
+    "running": Evidence.STARTED,
+    "done": Evidence.DONE,
+    "failed": Evidence.FAILED,
+    "returned": Evidence.RETURNED,
+    "lost": Evidence.LOST,
 }
 
 
@@ -41,8 +41,8 @@
     if word is None or not isinstance(share, (int, float)) or not 0 <= share <= 1:
         shared.counters.add("bad_callbacks")
         return
-    if word is Word.DONE and not isinstance(result, str):
-        word = Word.FAILED  # it ran, but there is nothing of its own to pass on
+    if word is Evidence.DONE and not isinstance(result, str):
+        word = Evidence.FAILED  # it ran, but there is nothing of its own to pass on
     if attempt is None or not shared.requests.word(
         attempt,
         word,
@@ -50,5 +50,5 @@
         result.encode("utf-8", "surrogatepass") if isinstance(result, str) else None,
     ):
         shared.counters.add("callbacks_unmatched")
-    elif word is Word.STARTED:
+    elif word is Evidence.STARTED:
         shared.requests.noted(attempt, api.PROGRESS if state == "running" else api.STARTED, float(share))
--- a/violetsaddle/net/release.py
+++ b/violetsaddle/net/release.py
@@ -13,7 +13,7 @@
 from twisted.internet.defer import CancelledError, Deferred
 from twisted.python.failure import Failure as Reason
 
-from violetsaddle.decide.proof import Life, Release, confirms_release
+from violetsaddle.decide.proof import AttemptState, Release, confirms_release
 from violetsaddle.net import http
 from violetsaddle.net.counters import Counters
 from violetsaddle.net.deadlines import Deadlines
@@ -103,7 +103,7 @@
 
         A server that has not answered may not have accepted the job's own connection.  One that is made after
         it is accepted after it."""
-        return attempt.dialled and attempt.life is Life.SENT and self._requests.waits(attempt)
+        return attempt.dialled and attempt.life is AttemptState.SENT and self._requests.waits(attempt)
 
     def _over(self, releasing: _Releasing[S], result: Any) -> None:
         """A DELETE has its answer, or a `Reason` why there is none."""
--- a/violetsaddle/net/requests.py
+++ b/violetsaddle/net/requests.py
@@ -13,7 +13,7 @@
 from twisted.internet.defer import Deferred
 
 from violetsaddle import interface as api
-from violetsaddle.decide.proof import TABLE, Life, Release, Word
+from violetsaddle.decide.proof import TRANSITIONS, AttemptState, Evidence, Release
 from violetsaddle.net.audit import Audit
 from violetsaddle.net.counters import Counters
 from violetsaddle.net.deadlines import Deadline, Deadlines
@@ -93,21 +93,21 @@
         give it up): of its request."""
         self.effect, self.may_cancel = effect, may_cancel
         self.request, self.job, self.number, self.server, self.sent = request, job, number, server, sent
-        self.life = Life.UNSENT
+        self.life = AttemptState.UNSENT
         self.late: Deadline | None = None
         self.unsent: Deadline | None = None  # its last byte must have left by then
         self.ticket: Deferred[Any] | None = None  # what carries it, while it does
         self.name = ""  # the real server's, as in its callbacks
         self.real: object = None  # what its carrier knows it by: the list may have dropped it meanwhile
         self.dialled = False  # a connection was made for it
-        self.last_life, self.outcome = Life.UNSENT, ""  # how far it had come as it ended, and its outcome
+        self.last_life, self.outcome = AttemptState.UNSENT, ""  # the state before its end, and its outcome
         self.release = Release.NONE
         self.doubt = ""  # why it would start late, as far as could be seen (`Tally`)
 
     @property
     def ended(self) -> bool:
         """Its one outcome is known."""
-        return self.life is Life.ENDED
+        return self.life is AttemptState.ENDED
 
 
 class Carrier(Protocol):
@@ -328,7 +328,7 @@
         job = request.job
         self._tell(lambda: self._balancer.gone(self._deadlines.now(), job))
         for attempt in request.attempts:
-            if attempt.life is Life.UNSENT:
+            if attempt.life is AttemptState.UNSENT:
                 # It would still leave where it waits for a connection and cancels are not allowed.
                 self.carrier.give_up(attempt)
                 self.ended(attempt, api.MOOT)
@@ -346,7 +346,7 @@
     def wanted(self, attempt: Attempt) -> bool:
         """Whether somebody waits for an attempt whose first byte is to leave now."""
         request = self._table.get(attempt.request)
-        if request is None or request.client is None or attempt.life is not Life.UNSENT:
+        if request is None or request.client is None or attempt.life is not AttemptState.UNSENT:
             return False
         if request.client.left():
             self.leave(request.number)
@@ -361,7 +361,7 @@
             self._too_late(attempt)
         if attempt.late is not None and now >= attempt.late.at:
             self._expired(attempt)
-        return attempt.life is Life.UNSENT
+        return attempt.life is AttemptState.UNSENT
 
     def listed(self, kind: str, entries: Sequence[api.Entry]) -> None:
         """Discovery gave a list (`api.SNAPSHOT`), changes (`api.DIFF`) or none (`api.LIST_ERROR`)."""
@@ -424,7 +424,7 @@
             return None
         last = request.attempts[-1]
         # Guards against a late word on an old attempt: it must not end the present one.
-        return last if last.name == name and last.life is not Life.ENDED else None
+        return last if last.name == name and last.life is not AttemptState.ENDED else None
 
     def met(self, attempt: Attempt, name: str) -> bool:
         """Whether an earlier attempt of its request went to a real server of that name: which of the two a
@@ -435,23 +435,23 @@
     def word(
         self,
         attempt: Attempt,
-        word: Word,
+        word: Evidence,
         report: api.Report | None = None,
         result: bytes | None = None,
     ) -> bool:
         """Takes in what is heard of an attempt; False if it proves nothing and was passed over."""
-        step = TABLE[attempt.life].get(word)
+        step = TRANSITIONS[attempt.life].get(word)
         if step is None:
             return False
-        if step.life is not Life.ENDED:
-            attempt.life = step.life
+        if step.state is not AttemptState.ENDED:
+            attempt.life = step.state
             if attempt.unsent is not None:
                 self._deadlines.drop(attempt.unsent)
         if step.give_up:
             self._counters.add("odd_words")
             # Guards against a second copy: nobody has said for sure that the job does not run.
             self.carrier.give_up(attempt).addBoth(lambda _: self.ended(attempt, step.outcome, report))
-        elif step.tell_before_repeat and self._may_repeat(attempt):
+        elif step.give_up_before_repeat and self._may_repeat(attempt):
             self.carrier.give_up(attempt, broken=True).addBoth(
                 lambda _: self.ended(attempt, step.outcome, report)
             )
@@ -471,7 +471,7 @@
 
     def noted(self, attempt: Attempt, what: int, amount: float) -> None:
         """A real server told of a start or of progress; `what` and `amount` are those of `Balancer.note`."""
-        if attempt.life is not Life.ENDED:
+        if attempt.life is not AttemptState.ENDED:
             self._met(attempt.server, api.OK)
             request = self._table.get(attempt.request)
             if self._tally is not None and request is not None and what == api.STARTED:
@@ -493,10 +493,10 @@
         result: bytes | None = None,
     ) -> None:
         """The one outcome of an attempt; a second one is passed over."""
-        if attempt.life is Life.ENDED:
+        if attempt.life is AttemptState.ENDED:
             return
         attempt.last_life, attempt.outcome = attempt.life, outcome
-        attempt.life = Life.ENDED
+        attempt.life = AttemptState.ENDED
         self._deadlines.drop(attempt.late)
         if attempt.unsent is not None:
             self._deadlines.drop(attempt.unsent)
@@ -558,7 +558,7 @@
 
     def _too_late(self, attempt: Attempt) -> None:
         """Its last byte has not left by the time that is allowed: it never will."""
-        if attempt.life is Life.UNSENT:
+        if attempt.life is AttemptState.UNSENT:
             self._counters.add("left_unsent")
             self.carrier.give_up(attempt)
             self.ended(attempt, api.MOOT)
@@ -574,7 +574,7 @@
         """A request's slot is free once its answer is given and no attempt is out."""
         if (
             request.client is None
-            and all(s.life is Life.ENDED for s in request.attempts)
+            and all(s.life is AttemptState.ENDED for s in request.attempts)
             and self._table.get(request.number)
         ):
             self._deadlines.drop(request.guard)
--- a/violetsaddle/net/servers.py
+++ b/violetsaddle/net/servers.py
@@ -13,7 +13,7 @@
 from twisted.python.failure import Failure as Reason
 
 from violetsaddle import interface as api
-from violetsaddle.decide.proof import Life, Release, Word, answered
+from violetsaddle.decide.proof import AttemptState, Evidence, Release, classify_answer
 from violetsaddle.net import http
 from violetsaddle.net.connections import BrokenError, NotConnectedError, RealServer, ServerConnection, dial
 from violetsaddle.net.counters import Counters
@@ -322,7 +322,7 @@
         unreached."""
         server = self._by_number.get(attempt.server)
         if server is None:
-            self._requests.word(attempt, Word.UNREACHED)
+            self._requests.word(attempt, Evidence.NOT_CONNECTED)
             return
         if attempt.number and self._requests.met(attempt, server.name):
             self._requests.ended(attempt, api.MOOT)
@@ -330,7 +330,7 @@
         attempt.name, attempt.real = server.name, server
 
         def written() -> None:
-            self._requests.word(attempt, Word.WRITTEN)
+            self._requests.word(attempt, Evidence.WRITTEN)
 
         fresh = attempt.effect == api.UNSAFE or self._deadlines.now() < self._doubt_until
         kept = None if fresh else self._idle(server, sure=attempt.effect != api.SAFE)
@@ -357,24 +357,24 @@
     def _answered(self, answer: http.Message, attempt: Attempt) -> None:
         attempt.ticket = None
         if answer.status == 202:
-            self._requests.word(attempt, Word.ACCEPTED)
+            self._requests.word(attempt, Evidence.ACCEPTED)
             return
-        word = answered(answer.status, answer.header("x-turned-away"))
-        if not answer.sure or (word is Word.TURNED_AWAY and not answer.delimited):
+        word = classify_answer(answer.status, answer.header("x-turned-away"))
+        if not answer.sure or (word is Evidence.TURNED_AWAY and not answer.delimited):
             # Guards against a late second answer to the request before, which says nothing of this one, and
             # against one that was cut where nothing tells its length.
-            word = Word.ODD
+            word = Evidence.UNEXPECTED
         self._requests.word(attempt, word, self.report(answer.header("x-pressure")))
 
     def _not_carried(self, reason: Reason, attempt: Attempt) -> Reason | None:
         attempt.ticket = None
         if isinstance(reason.value, (NotConnectedError, WithheldError)):
-            self._requests.word(attempt, Word.UNREACHED)
+            self._requests.word(attempt, Evidence.NOT_CONNECTED)
         elif isinstance(reason.value, BrokenError):
             self._requests.audit.broken(attempt, reason.value.written, reason.value.why)
             if reason.value.written:
-                self._requests.word(attempt, Word.WRITTEN)
-            self._requests.word(attempt, Word.CUT if reason.value.begun else Word.BROKE)
+                self._requests.word(attempt, Evidence.WRITTEN)
+            self._requests.word(attempt, Evidence.TRUNCATED if reason.value.begun else Evidence.DISCONNECTED)
         else:
             return reason
         return None
@@ -386,7 +386,11 @@
         if ticket is not None:
             ticket.cancel()  # no answer has come: the end of the connection gives the job up
         server = attempt.real
-        if not isinstance(server, RealServer) or not attempt.may_cancel or attempt.life is Life.UNSENT:
+        if (
+            not isinstance(server, RealServer)
+            or not attempt.may_cancel
+            or attempt.life is AttemptState.UNSENT
+        ):
             attempt.release = Release.CLOSED
             self._requests.audit.released(attempt, self._requests.waits(attempt), 0, "")
             return succeed(None)
