--- a/tests/test_recovery.py
+++ b/tests/test_recovery.py
@@ -1,4 +1,4 @@
-"""What a node makes of a loss of power: its life searched, its evidence, and the whole site off at once."""
+"""Loss of power as one node sees it: all sequences of events, the evidence, and a whole site off at once."""
 
 from __future__ import annotations
 
@@ -14,7 +14,15 @@
 from tests.scenario import PATIENCE, Scenario
 from tests.test_relay import play, three
 from violetsaddle import Entry
-from violetsaddle.decide.recovery import LEAST, RESTORE, SETTLED, TABLE, Event, Phase, Recovery
+from violetsaddle.decide.recovery import (
+    DISCOVERY_CATCH_UP,
+    MIN_REFUSING,
+    SETTLE_TIME,
+    TRANSITIONS,
+    Event,
+    Phase,
+    Recovery,
+)
 from violetsaddle.interface import DIFF, DISK, GONE, LIST_ERROR, SNAPSHOT
 from violetsaddle.lab.records import Answer, BoxLife, NodeLife
 from violetsaddle.lab.sim.stage import SimStage
@@ -25,10 +33,10 @@
 
 SILENCE = 5 * SECOND
 LIST = [Entry(n, started=7) for n in range(1, 7)]
-ON = "[recovery]\nsilence_s = 5\n"
+RECOVERY_ON = "[recovery]\nsilence_s = 5\n"
 
 
-def begun(entries: list[Entry] = LIST, now: int = 100 * SECOND) -> Recovery:
+def started_node(entries: list[Entry] = LIST, now: int = 100 * SECOND) -> Recovery:
     recovery = Recovery(now, SILENCE)
     assert recovery.listed(now, DISK, entries) == []
     return recovery
@@ -38,65 +46,65 @@
     return recovery.phase
 
 
-def dark(recovery: Recovery, now: int) -> int:
-    for worker in range(1, LEAST + 1):
+def lose_power(recovery: Recovery, now: int) -> int:
+    for worker in range(1, MIN_REFUSING + 1):
         recovery.refused(now, worker)
-    assert phase_of(recovery) is Phase.DARK
+    assert phase_of(recovery) is Phase.POWER_LOST
     return now
 
 
-def test_every_state_knows_every_event_and_only_evidence_leads_into_the_dark() -> None:
-    assert set(TABLE) == set(itertools.product(Phase, Event))
-    for events in itertools.product(Event, repeat=5):
+def test_every_phase_handles_every_event_and_only_refusals_mean_that_power_is_lost() -> None:
+    assert set(TRANSITIONS) == set(itertools.product(Phase, Event))
+    for sequence in itertools.product(Event, repeat=5):
         phase = Phase.UNKNOWN
-        for event in events:
-            before, phase = phase, TABLE[phase, event]
-            assert (phase is Phase.DARK) == (event is Event.REFUSED)
-            assert phase is not Phase.RETURNING or before in (Phase.DARK, Phase.RETURNING)
-            assert event is not Event.LISTED or phase is Phase.KNOWN, "discovery's word ends all doubt"
+        for event in sequence:
+            before, phase = phase, TRANSITIONS[phase, event]
+            assert (phase is Phase.POWER_LOST) == (event is Event.REFUSED)
+            assert phase is not Phase.RETURNING or before in (Phase.POWER_LOST, Phase.RETURNING)
+            assert event is not Event.LISTED or phase is Phase.KNOWN, "a list from discovery always counts"
 
 
-def test_an_ordinary_start_believes_the_list() -> None:
-    recovery = begun()
+def test_after_an_ordinary_start_the_list_counts() -> None:
+    recovery = started_node()
     assert recovery.alive(101 * SECOND, 1) == [] and phase_of(recovery) is Phase.KNOWN
     recovery.refused(101 * SECOND, 2)
     recovery.refused(101 * SECOND, 3)
-    assert recovery.alive(101 * SECOND, 4) == [], "two of four are no loss of power"
+    assert recovery.alive(101 * SECOND, 4) == [], "two refusals of four contacts are not a loss of power"
 
 
-def test_the_first_to_return_speaks_for_all_and_all_count_as_cold_since_they_refused() -> None:
-    recovery = begun()
-    now = dark(recovery, 101 * SECOND)
-    told = recovery.alive(now + SECOND, 5)
-    assert {e.worker for e in told} == set(range(1, 7))
-    assert {e.started for e in told} == {now}
-    assert recovery.alive(now + 2 * SECOND, 6) == [], "told already"
+def test_after_the_first_answer_all_count_as_cold_since_they_refused() -> None:
+    recovery = started_node()
+    now = lose_power(recovery, 101 * SECOND)
+    entries = recovery.alive(now + SECOND, 5)
+    assert {e.worker for e in entries} == set(range(1, 7))
+    assert {e.started for e in entries} == {now}
+    assert recovery.alive(now + 2 * SECOND, 6) == [], "their entries were returned already"
 
 
-def test_one_that_went_on_refusing_is_colder_than_the_others() -> None:
-    recovery = begun()
-    now = dark(recovery, 101 * SECOND)
+def test_one_that_refused_for_longer_started_later() -> None:
+    recovery = started_node()
+    now = lose_power(recovery, 101 * SECOND)
     recovery.alive(now + SECOND, 5)
     recovery.refused(now + 3 * SECOND, 2)
     assert [e.started for e in recovery.alive(now + 4 * SECOND, 2)] == [now + 3 * SECOND]
 
 
-def test_while_they_return_one_by_one_power_is_not_lost_again_but_it_is_when_all_have_gone() -> None:
-    recovery = begun()
-    now = dark(recovery, 101 * SECOND)
+def test_power_is_lost_again_only_if_all_refuse() -> None:
+    recovery = started_node()
+    now = lose_power(recovery, 101 * SECOND)
     recovery.alive(now + SECOND, 5)
     for worker in (1, 2, 3, 4, 6):
         recovery.refused(now + SECOND + MS, worker)
     assert phase_of(recovery) is Phase.RETURNING
-    again = now + SECOND + 2 * SETTLED
+    again = now + SECOND + 2 * SETTLE_TIME
     for worker in range(1, 7):
         recovery.refused(again, worker)
-    assert phase_of(recovery) is Phase.DARK
+    assert phase_of(recovery) is Phase.POWER_LOST
     assert {e.started for e in recovery.alive(again + SECOND, 5)} == {again}
 
 
-def test_where_discovery_speaks_refusals_mean_nothing() -> None:
-    recovery = begun()
+def test_refusals_do_not_count_while_discovery_answers() -> None:
+    recovery = started_node()
     recovery.listed(100 * SECOND, SNAPSHOT, LIST)
     for worker in range(1, 7):
         recovery.refused(104 * SECOND, worker)
@@ -104,40 +112,44 @@
     recovery.listed(104 * SECOND, LIST_ERROR, ())
     for worker in range(1, 7):
         recovery.refused(106 * SECOND, worker)
-    assert phase_of(recovery) is Phase.DARK, "silent for six seconds"
+    assert phase_of(recovery) is Phase.POWER_LOST, "discovery has been silent for six seconds"
 
 
-def test_whom_discovery_does_not_name_when_it_is_back_has_not_started_again() -> None:
-    recovery = begun()
-    now = dark(recovery, 101 * SECOND)
+def test_workers_that_discovery_does_not_list_after_its_return_have_not_restarted() -> None:
+    recovery = started_node()
+    now = lose_power(recovery, 101 * SECOND)
     recovery.alive(now + SECOND, 5)
-    spoke = now + 2 * SECOND
-    assert recovery.listed(spoke, DIFF, [Entry(1, started=now), Entry(2, state=GONE)]) == []
-    assert recovery.listed(spoke + RESTORE - 1, DIFF, ()) == [], "it may not know yet"
-    assert {e.worker for e in recovery.listed(spoke + RESTORE, DIFF, ())} == {3, 4, 5, 6}
-    assert recovery.listed(spoke + 2 * RESTORE, DIFF, ()) == []
+    back = now + 2 * SECOND
+    assert recovery.listed(back, DIFF, [Entry(1, started=now), Entry(2, state=GONE)]) == []
+    assert recovery.listed(back + DISCOVERY_CATCH_UP - 1, DIFF, ()) == [], (
+        "discovery may not know of all starts yet"
+    )
+    assert {e.worker for e in recovery.listed(back + DISCOVERY_CATCH_UP, DIFF, ())} == {3, 4, 5, 6}
+    assert recovery.listed(back + 2 * DISCOVERY_CATCH_UP, DIFF, ()) == []
 
 
 @pytest.mark.parametrize("kind", [SNAPSHOT, DIFF])
-def test_a_list_of_before_the_loss_does_not_overturn_what_the_node_has_seen(kind: str) -> None:
-    # Discovery lost power too, and comes back with what it held: nobody has started again, it says.
-    recovery = begun()
-    now = dark(recovery, 101 * SECOND)
+def test_an_old_list_after_a_loss_of_power_does_not_count(kind: str) -> None:
+    # Discovery lost power too, and returns with a list from before, without the new starts.
+    recovery = started_node()
+    now = lose_power(recovery, 101 * SECOND)
     recovery.alive(now + SECOND, 5)
     again = recovery.listed(now + 2 * SECOND, kind, [*LIST[:5], Entry(6, started=now + MS)])
-    assert {(e.worker, e.started) for e in again} == {(n, now) for n in range(1, 6)}, "six is told truly"
-    back = recovery.listed(now + 2 * SECOND + RESTORE, kind, LIST[:5])
-    assert back == [] or {e.started for e in back} == {7}, "it had time to find out: believed"
+    assert {(e.worker, e.started) for e in again} == {(n, now) for n in range(1, 6)}, (
+        "the list is right about worker 6"
+    )
+    back = recovery.listed(now + 2 * SECOND + DISCOVERY_CATCH_UP, kind, LIST[:5])
+    assert back == [] or {e.started for e in back} == {7}, "discovery has had time to learn of all starts"
 
 
-def test_a_fleet_of_two_and_strangers() -> None:
-    recovery = begun(LIST[:2])
+def test_two_workers_and_one_that_is_not_listed() -> None:
+    recovery = started_node(LIST[:2])
     recovery.refused(101 * SECOND, 99)
     assert recovery.alive(101 * SECOND, 99) == []
     recovery.refused(101 * SECOND, 1)
     assert phase_of(recovery) is Phase.UNKNOWN
     recovery.refused(101 * SECOND, 2)
-    assert phase_of(recovery) is Phase.DARK
+    assert phase_of(recovery) is Phase.POWER_LOST
 
 
 steps = st.lists(
@@ -152,24 +164,24 @@
 
 @given(steps)
 @settings(max_examples=300, deadline=None)
-def test_nothing_is_doubted_while_discovery_speaks_nor_said_to_start_in_the_future(
-    told: list[tuple[str, int, int]],
+def test_start_times_are_replaced_only_while_discovery_is_silent_and_never_lie_in_the_future(
+    events: list[tuple[str, int, int]],
 ) -> None:
-    now, spoke = 100 * SECOND, -SECOND
-    recovery, held = begun(now=now), {e.worker: e.started for e in LIST}
-    for what, worker, wait in told:
+    now, listed_at = 100 * SECOND, -SECOND
+    recovery, held = started_node(now=now), {e.worker: e.started for e in LIST}
+    for what, worker, wait in events:
         now, before = now + wait, phase_of(recovery)
         if what == "refused":
             recovery.refused(now, worker)
-            assert phase_of(recovery) in (before, Phase.DARK)
-            assert phase_of(recovery) is before or now - spoke > SILENCE
+            assert phase_of(recovery) in (before, Phase.POWER_LOST)
+            assert phase_of(recovery) is before or now - listed_at > SILENCE
         elif what == "alive":
             for entry in recovery.alive(now, worker):
-                assert 100 * SECOND <= entry.started <= now and now - spoke > SILENCE
+                assert 100 * SECOND <= entry.started <= now and now - listed_at > SILENCE
         elif what == "error":
             assert recovery.listed(now, LIST_ERROR, ()) == []
         else:
-            spoke = now
+            listed_at = now
             listed = LIST if what == "whole" else [Entry(worker, started=now)]
             held.update({e.worker: e.started for e in listed})
             for entry in recovery.listed(now, SNAPSHOT if what == "whole" else DIFF, listed):
@@ -179,8 +191,8 @@
 
 
 class OnSockets(Scenario):
-    def test_real_servers_that_refused_and_are_back_count_as_cold(self) -> None:
-        self.start({"safety": {"cold": 20_000_000, "coldFrom": 0.2}}, operator=ON)
+    def test_real_servers_that_refused_and_returned_count_as_cold(self) -> None:
+        self.start({"safety": {"cold": 20_000_000, "coldFrom": 0.2}}, operator=RECOVERY_ON)
         for listening in self.servers.values():
             listening.close()
         self.play("""
@@ -201,36 +213,42 @@
         self.play("node send USR1\nnode expect counters | lists_doubted=1 | sent_cold=1")
 
 
-def fell(outcome: Outcome) -> int:
+def count_overloaded(outcome: Outcome) -> int:
     return sum(isinstance(r, BoxLife) and r.what == "fell" for r in outcome.records)
 
 
-def test_a_site_off_at_once_pushes_no_cold_real_server_over(tmp_path: Path) -> None:
+def test_after_a_loss_of_power_no_cold_real_server_is_overloaded(tmp_path: Path) -> None:
     operator = tmp_path / "operator.toml"
-    operator.write_text(ON)
+    operator.write_text(RECOVERY_ON)
     day = scenario.draw(scenario.load("power"), 2)
-    assert fell(SimStage().play(day, Options())) > 10, "the day is one on which this happens"
-    assert fell(SimStage().play(day, Options(operator=str(operator)))) == 0
+    assert count_overloaded(SimStage().play(day, Options())) > 10, (
+        "without recovery this day has overloaded real servers"
+    )
+    assert count_overloaded(SimStage().play(day, Options(operator=str(operator)))) == 0
 
 
 @pytest.mark.parametrize(
-    ("boxes", "text"), [(True, ON), (True, ""), (False, ON)], ids=["all", "all, off", "nodes only"]
+    ("boxes", "text"),
+    [(True, RECOVERY_ON), (True, ""), (False, RECOVERY_ON)],
+    ids=["all", "all, off", "nodes only"],
 )
-def test_processes_of_a_site_off_at_once(tmp_path: Path, boxes: bool, text: str) -> None:
+def test_real_processes_after_a_loss_of_power(tmp_path: Path, boxes: bool, text: str) -> None:
     operator = tmp_path / "operator.toml"
     operator.write_text(text)
-    off = [Trouble("kill", SECOND, 2 * SECOND, nodes=(0, 1, 2))]
+    power_off = [Trouble("kill", SECOND, 2 * SECOND, nodes=(0, 1, 2))]
     if boxes:
-        off += [
+        power_off += [
             Trouble("crash", SECOND, 3 * SECOND, boxes=(0, 1, 2, 3)),
             Trouble("roster_out", SECOND, 4 * SECOND),
         ]
-    outcome = play(three(5 * SECOND, *off), 3 * SECOND, str(operator))
-    doubted = [told.get("lists_doubted", 0) for told in outcome.counters]
-    assert sum(doubted) >= 2 if boxes and text else not any(doubted), "warm real servers are believed"
+    outcome = play(three(5 * SECOND, *power_off), 3 * SECOND, str(operator))
+    doubted = [counters.get("lists_doubted", 0) for counters in outcome.counters]
+    assert sum(doubted) >= 2 if boxes and text else not any(doubted), (
+        "the list counts if real servers did not lose power"
+    )
     lives = Counter((r.node, r.what) for r in outcome.records if isinstance(r, NodeLife))
     assert all(lives[node, "kill"] == 1 and lives[node, "start"] == 2 for node in range(3))
-    assert fell(outcome) == 0
-    # Which of them clients come to is the clients' choice: they keep the connections they have.
+    assert count_overloaded(outcome) == 0
+    # Clients keep their connections, so not every node has to get requests.
     assert all(lives[node, "ready"] == 2 for node in range(3))
     assert any(isinstance(r, Answer) and r.status == 200 and r.at > 3 * SECOND for r in outcome.records)
--- a/violetsaddle/decide/recovery.py
+++ b/violetsaddle/decide/recovery.py
@@ -1,13 +1,14 @@
-"""Whether the site has lost power, as one node sees it, and what it may still believe of its list then.
+"""Detects, from one node's view, that the site has lost power, and which real servers started again since.
 
-A list tells of each real server when it started.  While discovery is down that may be wrong: a node that has
-just started holds a list of before, and whoever refused connections and then takes them has started again
-since and is cold, whatever the list says.  Sent to as if warm, cold real servers fall over one by one.
+The list says when each real server started.  While discovery is down that may be out of date: a node that has
+just started holds an old list, and a real server that refused connections and then accepts them has started
+again.  It is cold, whatever the list says.  If nodes send to cold real servers as if they were warm, those
+fail one after another under the load.
 
-What moves the life on stands in `TABLE`; `tests/test_recovery.py` searches it.  There is no agreement between
-nodes: each acts on what it has met itself.  A wrong guess is harmless either way.  Taking warm ones for cold
-costs room until discovery speaks, or until they would be warm; taking cold ones for warm is what was done
-without this."""
+`TRANSITIONS` has all changes of the phase; `tests/test_recovery.py` checks it.  Nodes do not coordinate: each
+acts on its own connections.  A wrong guess does little harm.  If warm real servers are taken for cold, the
+node sends less than they could bear, until discovery answers or a cold server would have warmed up.  If cold
+ones are taken for warm, the node behaves as it would without this module."""
 
 from __future__ import annotations
 
@@ -17,131 +18,148 @@
 from violetsaddle import interface as api
 
 SECOND = 1_000_000  # microseconds
-RECENT = 3 * SECOND  # what was met counts so long
-LEAST = 3  # real servers that must have refused, or all there are
-MOST = 2 / 3  # of those met lately
-SETTLED = SECOND  # while they return, nobody has answered for so long before power counts as lost again
-RESTORE = 3 * SECOND  # discovery has spoken for so long: it had time to learn who has started again
+RECENT_CONTACT = 3 * SECOND  # older refusals and answers are not counted
+MIN_REFUSING = 3  # real servers that must refuse, or all of them if there are fewer
+MIN_REFUSING_SHARE = 2 / 3  # of the real servers with recent contact
+SETTLE_TIME = SECOND  # after an answer, refusals within this time are normal: servers return one by one
+DISCOVERY_CATCH_UP = 3 * SECOND  # after its return discovery may need this long to learn of all starts
 
 
 class Phase(enum.Enum):
-    """What the node believes of the site's power."""
+    """What the node believes about the site's power."""
 
-    UNKNOWN = "unknown"  # the node has started and met nobody
-    KNOWN = "known"  # discovery has spoken, or real servers are as the list has them
-    DARK = "dark"  # discovery is silent and most real servers refuse: the site has lost power
-    RETURNING = "returning"  # they are coming back, and nobody can say since when
+    UNKNOWN = "unknown"  # the node has started and has no contact yet
+    KNOWN = "known"  # discovery has answered, or real servers are as the list says
+    POWER_LOST = "dark"  # discovery is silent and most real servers refuse connections
+    RETURNING = "returning"  # real servers come back, and their start times are not known
 
 
 class Event(enum.Enum):
-    """What moves the phase."""
+    """What can change the phase."""
 
     LISTED = "discovery spoke"
-    ALIVE = "a real server answered"
+    ANSWERED = "a real server answered"
     REFUSED = "most real servers refuse, and discovery is silent"
 
 
-TABLE: Mapping[tuple[Phase, Event], Phase] = {
+TRANSITIONS: Mapping[tuple[Phase, Event], Phase] = {
     **{(phase, Event.LISTED): Phase.KNOWN for phase in Phase},
-    **{(phase, Event.REFUSED): Phase.DARK for phase in Phase},  # also in the midst of a return: lost again
-    (Phase.UNKNOWN, Event.ALIVE): Phase.KNOWN,
-    (Phase.KNOWN, Event.ALIVE): Phase.KNOWN,
-    (Phase.DARK, Event.ALIVE): Phase.RETURNING,
-    (Phase.RETURNING, Event.ALIVE): Phase.RETURNING,
+    **{
+        (phase, Event.REFUSED): Phase.POWER_LOST for phase in Phase
+    },  # power may be lost again during a return
+    (Phase.UNKNOWN, Event.ANSWERED): Phase.KNOWN,
+    (Phase.KNOWN, Event.ANSWERED): Phase.KNOWN,
+    (Phase.POWER_LOST, Event.ANSWERED): Phase.RETURNING,
+    (Phase.RETURNING, Event.ANSWERED): Phase.RETURNING,
 }
 
 
-class Met:
-    """What the node has met at one real server: when it refused and answered last, and since when it was told
-    to run in place of what the list says (0: as the list says)."""
+class Contact:
+    """What the node has seen of one real server; times are microseconds.
 
-    __slots__ = ("entry", "refused", "alive", "doubt")
+    `entry`: as discovery gave it.  `refused`, `answered`: when it last did; -1: never.  `assumed_start`: the
+    start time that replaces the one on the list; 0: the list counts."""
+
+    __slots__ = ("entry", "refused", "answered", "assumed_start")
 
     def __init__(self, entry: api.Entry) -> None:
-        """It has neither refused nor answered yet; `entry`: as discovery told it."""
-        self.entry = entry  # as discovery told it
-        self.refused, self.alive, self.doubt = -1, -1, 0
+        """A real server that has neither refused nor answered yet."""
+        self.entry = entry
+        self.refused, self.answered, self.assumed_start = -1, -1, 0
 
 
 class Recovery:
-    """Events in, entries out: those are to be told to the module in place of what the list says.  Times are
-    the module's, microseconds."""
+    """Takes what the node sees, and returns entries that replace those of the list.
+
+    Times are microseconds on the clock of the decision module."""
 
     def __init__(self, now: int, silence: int) -> None:
-        """`silence`: without word from discovery for so long its list is not proof any more."""
+        """`silence`: microseconds without contact to discovery after which the list may be out of date."""
         self.phase, self._silence = Phase.UNKNOWN, silence
-        self._met: dict[int, Met] = {}
-        self._spoke = now - silence - 1  # not since the node's start
-        self._since = -RESTORE  # discovery speaks again since then
-        self._dark = -1  # when most refused last
-        self.changes = 0  # of phase
-
-    def _go(self, event: Event) -> None:
-        after = TABLE[self.phase, event]
-        self.changes += after is not self.phase
+        self._contacts: dict[int, Contact] = {}
+        self._listed_at = now - silence - 1  # as if discovery had been silent for too long already
+        self._discovery_back_at = -DISCOVERY_CATCH_UP  # when discovery answered again after a loss of power
+        self._power_lost_at = -1  # when most real servers last refused
+        self.phase_changes = 0
+
+    def _apply(self, event: Event) -> None:
+        after = TRANSITIONS[self.phase, event]
+        self.phase_changes += after is not self.phase
         self.phase = after
 
     def listed(self, now: int, kind: str, entries: Sequence[api.Entry]) -> list[api.Entry]:
-        """A list event of the module's."""
+        """Takes a list event of the interface; returns the entries that replace those of the list."""
         if kind == api.LIST_ERROR:
             return []
         if kind == api.SNAPSHOT:
-            self._met = {e.worker: self._met[e.worker] for e in entries if e.worker in self._met}
+            self._contacts = {
+                e.worker: self._contacts[e.worker] for e in entries if e.worker in self._contacts
+            }
         for entry in entries:
             if entry.state == api.GONE:
-                self._met.pop(entry.worker, None)
-            elif entry.worker in self._met:
-                self._met[entry.worker].entry = entry
+                self._contacts.pop(entry.worker, None)
+            elif entry.worker in self._contacts:
+                self._contacts[entry.worker].entry = entry
             else:
-                self._met[entry.worker] = Met(entry)
+                self._contacts[entry.worker] = Contact(entry)
         if kind == api.DISK:
             return []
-        self._spoke = now
-        if self.phase in (Phase.DARK, Phase.RETURNING):
-            self._since = now
-        self._go(Event.LISTED)
-        for met in self._met.values():
-            if met.entry.started >= self._dark:
-                met.doubt = 0  # it knows of the new start
-        doubted = [met for met in self._met.values() if met.doubt]
-        if now - self._since < RESTORE:
-            # It may have lost power too, and tell what it held before: the node has seen that that is over.
+        self._listed_at = now
+        if self.phase in (Phase.POWER_LOST, Phase.RETURNING):
+            self._discovery_back_at = now
+        self._apply(Event.LISTED)
+        for contact in self._contacts.values():
+            if contact.entry.started >= self._power_lost_at:
+                contact.assumed_start = 0  # discovery knows of the new start
+        doubted = [contact for contact in self._contacts.values() if contact.assumed_start]
+        if now - self._discovery_back_at < DISCOVERY_CATCH_UP:
+            # Discovery may have lost power too, and may list start times from before.
             named = {entry.worker for entry in entries}
-            return [met.entry._replace(started=met.doubt) for met in doubted if met.entry.worker in named]
-        for met in doubted:
-            met.doubt = 0
-        return [met.entry for met in doubted]
+            return [c.entry._replace(started=c.assumed_start) for c in doubted if c.entry.worker in named]
+        for contact in doubted:
+            contact.assumed_start = 0
+        return [contact.entry for contact in doubted]
 
     def refused(self, now: int, worker: int) -> None:
-        """No connection came up there."""
-        met = self._met.get(worker)
-        if met is None:
+        """No connection to the real server came up."""
+        contact = self._contacts.get(worker)
+        if contact is None:
             return
-        met.refused = now
-        if now - self._spoke <= self._silence or self.phase is Phase.DARK:
+        contact.refused = now
+        if now - self._listed_at <= self._silence or self.phase is Phase.POWER_LOST:
             return
-        if self.phase is Phase.RETURNING and any(m.alive > now - SETTLED for m in self._met.values()):
-            return  # they come back one by one; only if all have gone again was power lost again
-        lately = [m for m in self._met.values() if max(m.refused, m.alive) > now - RECENT]
-        dead = sum(m.refused > m.alive for m in lately)
-        if dead >= min(LEAST, len(self._met)) and dead >= MOST * len(lately):
-            self._dark = now
-            self._go(Event.REFUSED)
+        if self.phase is Phase.RETURNING and any(
+            c.answered > now - SETTLE_TIME for c in self._contacts.values()
+        ):
+            return  # real servers return one by one; power is lost again only if all are gone
+        recent = [c for c in self._contacts.values() if max(c.refused, c.answered) > now - RECENT_CONTACT]
+        refusing = sum(c.refused > c.answered for c in recent)
+        if refusing >= min(MIN_REFUSING, len(self._contacts)) and refusing >= MIN_REFUSING_SHARE * len(
+            recent
+        ):
+            self._power_lost_at = now
+            self._apply(Event.REFUSED)
 
     def alive(self, now: int, worker: int) -> list[api.Entry]:
-        """A real server has shown that it runs."""
-        met = self._met.get(worker)
-        if met is None:
+        """The real server has answered; returns the entries that replace those of the list."""
+        contact = self._contacts.get(worker)
+        if contact is None:
             return []
-        before, met.alive, was = met.alive, now, self.phase
-        self._go(Event.ALIVE)
-        if self.phase is not Phase.RETURNING or before >= self._dark:
+        answered_before, contact.answered, phase_before = contact.answered, now, self.phase
+        self._apply(Event.ANSWERED)
+        if self.phase is not Phase.RETURNING or answered_before >= self._power_lost_at:
             return []
-        # The first to answer speaks for all: had the node to hear of each, it would send to it as if it were
-        # warm until then.  One that went on refusing is colder than that.
-        late = met.refused > self._dark + SETTLED
-        told = self._met.values() if was is Phase.DARK else [met] if late else []
-        back = [m for m in told if m.alive < self._dark or m is met]
-        for m in back:
-            m.doubt = max(1, m.refused, self._dark)
-        return [m.entry._replace(started=m.doubt) for m in back]
+        # The first answer makes all real servers count as cold.  If each had to answer first, the node would
+        # send to it as if it were warm until then.  One that refused for longer started even later.
+        returned_later = contact.refused > self._power_lost_at + SETTLE_TIME
+        candidates = (
+            self._contacts.values()
+            if phase_before is Phase.POWER_LOST
+            else [contact]
+            if returned_later
+            else []
+        )
+        restarted = [c for c in candidates if c.answered < self._power_lost_at or c is contact]
+        for c in restarted:
+            c.assumed_start = max(1, c.refused, self._power_lost_at)
+        return [c.entry._replace(started=c.assumed_start) for c in restarted]
