--- a/tests/test_upgrade_life.py
+++ b/tests/test_upgrade_life.py
@@ -1,4 +1,4 @@
-"""All that can happen to the two processes of an upgrade, searched to its end."""
+"""Exhaustive search of all events that can happen to the two processes of an upgrade."""
 
 from __future__ import annotations
 
@@ -7,50 +7,61 @@
 from typing import Any, NamedTuple
 from unittest import mock
 
-from violetsaddle.decide.upgrade import MESSAGES, NEW, OLD, Do, Event, Life, New, Old
-
-SAYS = {
-    Do.SAY_HELLO: (Event.HELLO,),
-    Do.SAY_READY: (Event.READY,),
-    Do.SAY_SERVES: (Event.SERVES,),
-    Do.SAY_ENDING: (Event.ENDING,),
-    Do.GIVE: (Event.STATE, Event.WHOLE),
-    Do.SAY_GO: (Event.GO,),
+from violetsaddle.decide.upgrade import (
+    MESSAGES,
+    OLD_TRANSITIONS,
+    SUCCESSOR_TRANSITIONS,
+    Action,
+    Event,
+    OldState,
+    StateMachine,
+    SuccessorState,
+)
+
+MESSAGES_SENT = {
+    Action.SAY_HELLO: (Event.HELLO,),
+    Action.SAY_READY: (Event.READY,),
+    Action.SAY_SERVES: (Event.SERVES,),
+    Action.SAY_ENDING: (Event.ENDING,),
+    Action.GIVE: (Event.STATE, Event.WHOLE),
+    Action.SAY_GO: (Event.GO,),
 }
 DEAD = None
 
 
 class World(NamedTuple):
-    """Two processes and the pair between them.  `None` as a state: the process is dead, or not yet born."""
-
-    old: Old | None = Old.SERVING
-    new: New | None = None
-    born: bool = False
-    to_old: tuple[Event, ...] = ()  # said and not heard; ends with END once the other side is closed
+    """Two processes and the pair of sockets between them.  `None` as a state: the process does not exist."""
+
+    old: OldState | None = OldState.SERVING
+    new: SuccessorState | None = None
+    successor_started: bool = False
+    to_old: tuple[
+        Event, ...
+    ] = ()  # sent and not received; the last is LINK_CLOSED once the other end is closed
     to_new: tuple[Event, ...] = ()
-    old_open: bool = False  # its end of the pair
+    old_open: bool = False  # the old process's end of the pair
     new_open: bool = False
     old_accepts: bool = True
     new_accepts: bool = False
-    doomed: bool = False  # the successor has a SIGKILL on its way
-    looks: bool = False  # the old one asks for the successor's end
-    told_to_end: bool = False  # SIGTERM to either
-    killed: bool = False  # the old one, by SIGKILL
-    serves: bool = False  # the old one heard that the successor serves
-    finished: bool = False  # the old one, by itself
-    asked: int = 0  # upgrades
-    breaks: int = 0  # nonsense said
+    kill_pending: bool = False  # a SIGKILL to the successor has not taken effect yet
+    awaits_exit: bool = False  # the old process waits for the successor's exit status
+    told_to_stop: bool = False  # SIGTERM to either process
+    killed: bool = False  # the old process, by SIGKILL
+    serves: bool = False  # the old process has received SERVES
+    finished: bool = False  # the old process has ended by itself
+    upgrades: int = 0  # started so far
+    invalid_messages: int = 0  # sent so far
 
 
 def without_old(world: World) -> World:
-    """The old process has ended, however."""
+    """The old process has ended, for any reason."""
     return world._replace(
         old=DEAD,
         old_accepts=False,
         old_open=False,
         to_old=(),
-        looks=False,
-        to_new=(*world.to_new, Event.END) if world.old_open else world.to_new,
+        awaits_exit=False,
+        to_new=(*world.to_new, Event.LINK_CLOSED) if world.old_open else world.to_new,
     )
 
 
@@ -60,219 +71,278 @@
         new_accepts=False,
         new_open=False,
         to_new=(),
-        doomed=False,
-        to_old=(*world.to_old, Event.END) if world.new_open else world.to_old,
+        kill_pending=False,
+        to_old=(*world.to_old, Event.LINK_CLOSED) if world.new_open else world.to_old,
     )
 
 
-def old_takes(world: World, event: Event) -> World:
-    life = Life(OLD, world.old)  # type: ignore[arg-type]
-    actions = life.take(event)
-    world = world._replace(old=life.state)  # type: ignore[arg-type]
-    for do in actions:
-        if do is Do.SPAWN:
+def old_process_handles(world: World, event: Event) -> World:
+    machine = StateMachine(OLD_TRANSITIONS, world.old)  # type: ignore[arg-type]
+    actions = machine.handle(event)
+    world = world._replace(old=machine.state)  # type: ignore[arg-type]
+    for action in actions:
+        if action is Action.SPAWN:
             world = world._replace(
-                born=True,
-                new=New.BOOTING,
+                successor_started=True,
+                new=SuccessorState.BOOTING,
                 old_open=True,
                 new_open=True,
                 to_old=(),
                 to_new=(),
-                asked=world.asked + 1,
-                looks=False,
+                upgrades=world.upgrades + 1,
+                awaits_exit=False,
                 serves=False,
             )
-        elif do in SAYS and world.new_open and world.old_open:
-            world = world._replace(to_new=world.to_new + SAYS[do])
-        elif do is Do.PAUSE:
+        elif action in MESSAGES_SENT and world.new_open and world.old_open:
+            world = world._replace(to_new=world.to_new + MESSAGES_SENT[action])
+        elif action is Action.PAUSE:
             world = world._replace(old_accepts=False)
-        elif do is Do.RESUME:
+        elif action is Action.RESUME:
             world = world._replace(old_accepts=True)
-        elif do in (Do.KILL, Do.HANG_UP):
+        elif action in (Action.KILL, Action.HANG_UP):
             if world.old_open:
-                world = world._replace(old_open=False, to_old=(), to_new=(*world.to_new, Event.END))
-            if do is Do.KILL:
-                world = world._replace(doomed=world.new is not DEAD, looks=world.old is Old.RETAKING)
-        elif do is Do.LOOK:
-            world = world._replace(looks=True)
-        elif do is Do.FINISH:
+                world = world._replace(old_open=False, to_old=(), to_new=(*world.to_new, Event.LINK_CLOSED))
+            if action is Action.KILL:
+                world = world._replace(
+                    kill_pending=world.new is not DEAD, awaits_exit=world.old is OldState.RETAKING
+                )
+        elif action is Action.LOOK:
+            world = world._replace(awaits_exit=True)
+        elif action is Action.FINISH:
             world = world._replace(finished=True)
     if event is Event.SERVES:
         world = world._replace(serves=True)
-    return without_old(world) if world.old is Old.OVER else world
-
-
-def new_takes(world: World, event: Event) -> World:
-    life = Life(NEW, world.new)  # type: ignore[arg-type]
-    actions = life.take(event)
-    world = world._replace(new=life.state)  # type: ignore[arg-type]
-    for do in actions:
-        if do in SAYS and world.old_open and world.new_open:
-            world = world._replace(to_old=world.to_old + SAYS[do])
-        elif do is Do.RESUME:
-            assert event is Event.GO, "the successor accepts at `go` and not before"
+    return without_old(world) if world.old is OldState.ENDED else world
+
+
+def successor_handles(world: World, event: Event) -> World:
+    machine = StateMachine(SUCCESSOR_TRANSITIONS, world.new)  # type: ignore[arg-type]
+    actions = machine.handle(event)
+    world = world._replace(new=machine.state)  # type: ignore[arg-type]
+    for action in actions:
+        if action in MESSAGES_SENT and world.old_open and world.new_open:
+            world = world._replace(to_old=world.to_old + MESSAGES_SENT[action])
+        elif action is Action.RESUME:
+            assert event is Event.GO, "the successor must not accept before `go`"
             world = world._replace(new_accepts=True)
-        elif do is Do.QUIT:
-            assert not world.new_accepts, "a successor that serves ends when it is told to, and not before"
-        elif do is Do.HANG_UP and world.new_open:
-            world = world._replace(new_open=False, to_new=(), to_old=(*world.to_old, Event.END))
-    return without_new(world) if world.new is New.OVER else world
-
-
-def nexts(world: World) -> Iterator[tuple[str, World]]:
-    """Whatever may happen next."""
-    yield from old_nexts(world)
-    yield from new_nexts(world)
-    if world.breaks < 1 and world.old_open and world.new_open:
+        elif action is Action.QUIT:
+            assert not world.new_accepts, "a successor that serves must not end by itself"
+        elif action is Action.HANG_UP and world.new_open:
+            world = world._replace(new_open=False, to_new=(), to_old=(*world.to_old, Event.LINK_CLOSED))
+    return without_new(world) if world.new is SuccessorState.ENDED else world
+
+
+def next_worlds(world: World) -> Iterator[tuple[str, World]]:
+    """Every event that can happen next, and the world after it."""
+    yield from next_worlds_by_old_process(world)
+    yield from next_worlds_by_successor(world)
+    if world.invalid_messages < 1 and world.old_open and world.new_open:
         if world.new is not DEAD:
-            yield "new babbles", world._replace(to_old=(*world.to_old, Event.NONSENSE), breaks=1)
+            yield (
+                "the successor sends an invalid message",
+                world._replace(to_old=(*world.to_old, Event.INVALID_MESSAGE), invalid_messages=1),
+            )
         if world.old is not DEAD and world.new is not DEAD:
-            yield "old babbles", world._replace(to_new=(*world.to_new, Event.NONSENSE), breaks=1)
+            yield (
+                "the old process sends an invalid message",
+                world._replace(to_new=(*world.to_new, Event.INVALID_MESSAGE), invalid_messages=1),
+            )
 
 
-def old_nexts(world: World) -> Iterator[tuple[str, World]]:
+def next_worlds_by_old_process(world: World) -> Iterator[tuple[str, World]]:
     if world.old is not DEAD:
-        yield "SIGKILL of the old one", without_old(world)._replace(killed=True)
-        if not world.told_to_end:
-            yield "SIGTERM to the old one", old_takes(world, Event.TERM)._replace(told_to_end=True)
-        # A third process is this search again: with the first one gone, the second is the old one.
-        if world.asked < 2 and (world.new is DEAD or world.old is not Old.SERVING):
-            yield "SIGUSR2 to the old one", old_takes(world, Event.UPGRADE)
+        yield "SIGKILL to the old process", without_old(world)._replace(killed=True)
+        if not world.told_to_stop:
+            yield (
+                "SIGTERM to the old process",
+                old_process_handles(world, Event.TERM)._replace(told_to_stop=True),
+            )
+        # A third process needs no search: once the first has ended, the second is the old process.
+        if world.upgrades < 2 and (world.new is DEAD or world.old is not OldState.SERVING):
+            yield "SIGUSR2 to the old process", old_process_handles(world, Event.UPGRADE)
         if world.to_old:
-            yield "old hears", old_takes(world._replace(to_old=world.to_old[1:]), world.to_old[0])
-        if world.old in (Old.STARTING, Old.COMMITTED, Old.GREETED, Old.DRAINING):
-            yield "late for the old one", old_takes(world, Event.LATE)
-        if world.old in (Old.STARTING, Old.GREETED):
-            yield "the old one can't", old_takes(world, Event.FAILED)
-        if world.old in (Old.DRAINING, Old.LEAVING):
-            yield "nothing owed", old_takes(world, Event.EMPTY)
-        if world.looks and world.born and world.new is DEAD:
-            yield "reaped", old_takes(world._replace(looks=False), Event.GONE)
-
-
-def new_nexts(world: World) -> Iterator[tuple[str, World]]:
+            yield (
+                "the old process receives a message",
+                old_process_handles(world._replace(to_old=world.to_old[1:]), world.to_old[0]),
+            )
+        if world.old in (OldState.STARTING, OldState.COMMITTED, OldState.GREETED, OldState.DRAINING):
+            yield "timeout of the old process", old_process_handles(world, Event.TIMEOUT)
+        if world.old in (OldState.STARTING, OldState.GREETED):
+            yield "an action of the old process fails", old_process_handles(world, Event.FAILED)
+        if world.old in (OldState.DRAINING, OldState.STOPPING):
+            yield "drained", old_process_handles(world, Event.DRAINED)
+        if world.awaits_exit and world.successor_started and world.new is DEAD:
+            yield (
+                "exit status read",
+                old_process_handles(world._replace(awaits_exit=False), Event.SUCCESSOR_ENDED),
+            )
+
+
+def next_worlds_by_successor(world: World) -> Iterator[tuple[str, World]]:
     if world.new is not DEAD:
-        yield "SIGKILL of the new one", without_new(world)
-        if not world.told_to_end or world.new in (New.BOOTING, New.ADOPTING, New.READY):
-            ends = world.new is New.SERVING or world.new is New.ALONE or world.told_to_end
-            moved = new_takes(world, Event.TERM)
-            if world.new is New.ALONE:  # its life is that of an old one now: it ends as it does
+        yield "SIGKILL to the successor", without_new(world)
+        if not world.told_to_stop or world.new in (
+            SuccessorState.BOOTING,
+            SuccessorState.ADOPTING,
+            SuccessorState.READY,
+        ):
+            ends = (
+                world.new is SuccessorState.SERVING or world.new is SuccessorState.ALONE or world.told_to_stop
+            )
+            moved = successor_handles(world, Event.TERM)
+            if (
+                world.new is SuccessorState.ALONE
+            ):  # now the state machine is that of an old process, which ends on SIGTERM
                 moved = without_new(world)
-            yield "SIGTERM to the new one", moved._replace(told_to_end=ends)
-        if world.new is New.BOOTING:
-            yield "begun", new_takes(world, Event.BEGUN)
-        if world.to_new and world.new is not New.BOOTING:
-            yield "new hears", new_takes(world._replace(to_new=world.to_new[1:]), world.to_new[0])
-        if world.new in (New.ADOPTING, New.READY):
-            yield "late for the new one", new_takes(world, Event.LATE)
-            yield "the new one can't", new_takes(world, Event.FAILED)
-        yield "SIGUSR2 to the new one", new_takes(world, Event.UPGRADE)
+            yield "SIGTERM to the successor", moved._replace(told_to_stop=ends)
+        if world.new is SuccessorState.BOOTING:
+            yield "the successor has started up", successor_handles(world, Event.INITIALIZED)
+        if world.to_new and world.new is not SuccessorState.BOOTING:
+            yield (
+                "the successor receives a message",
+                successor_handles(world._replace(to_new=world.to_new[1:]), world.to_new[0]),
+            )
+        if world.new in (SuccessorState.ADOPTING, SuccessorState.READY):
+            yield "timeout of the successor", successor_handles(world, Event.TIMEOUT)
+            yield "an action of the successor fails", successor_handles(world, Event.FAILED)
+        yield "SIGUSR2 to the successor", successor_handles(world, Event.UPGRADE)
 
 
 def settled(world: World) -> bool:
-    """Nothing is under way that must come to its end by itself."""
+    """Whether no event is pending."""
     return (
         not (world.to_old and world.old is not DEAD)
         and not (world.to_new and world.new is not DEAD)
-        and not world.doomed
-        and not (world.looks and world.new is DEAD)
-        and world.new is not New.BOOTING
+        and not world.kill_pending
+        and not (world.awaits_exit and world.new is DEAD)
+        and world.new is not SuccessorState.BOOTING
     )
 
 
-PLANTED: dict[str, tuple[Any, Event, Any]] = {
-    "accepts again before the successor's death is sure": (
-        Old.COMMITTED,
-        Event.LATE,
-        (Old.SERVING, (Do.KILL, Do.RESUME)),
+PLANTED_FAULTS: dict[str, tuple[Any, Event, Any]] = {
+    "accepts again before the successor has ended": (
+        OldState.COMMITTED,
+        Event.TIMEOUT,
+        (OldState.SERVING, (Action.KILL, Action.RESUME)),
+    ),
+    "a dead successor is not replaced": (OldState.DRAINING, Event.SUCCESSOR_ENDED, (OldState.DRAINING, ())),
+    "accepts after go": (OldState.GREETED, Event.READY, (OldState.COMMITTED, (Action.SAY_GO,))),
+    "the successor accepts before go": (
+        SuccessorState.ADOPTING,
+        Event.WHOLE,
+        (SuccessorState.READY, (Action.RESUME, Action.SAY_READY)),
+    ),
+    "the successor remains without go": (SuccessorState.READY, Event.LINK_CLOSED, (SuccessorState.READY, ())),
+    "drains before the successor serves": (
+        OldState.COMMITTED,
+        Event.TIMEOUT,
+        (OldState.ENDED, (Action.FINISH,)),
+    ),
+    "the successor ends with the old process": (
+        SuccessorState.SERVING,
+        Event.LINK_CLOSED,
+        (SuccessorState.ENDED, (Action.QUIT,)),
+    ),
+    "does not check whether the successor has ended": (
+        OldState.DRAINING,
+        Event.LINK_CLOSED,
+        (OldState.DRAINING, ()),
     ),
-    "a dead successor is not replaced": (Old.DRAINING, Event.GONE, (Old.DRAINING, ())),
-    "goes on accepting": (Old.GREETED, Event.READY, (Old.COMMITTED, (Do.SAY_GO,))),
-    "accepts too early": (New.ADOPTING, Event.WHOLE, (New.READY, (Do.RESUME, Do.SAY_READY))),
-    "stays without a go": (New.READY, Event.END, (New.READY, ())),
-    "drains before the successor serves": (Old.COMMITTED, Event.LATE, (Old.OVER, (Do.FINISH,))),
-    "ends with the old one": (New.SERVING, Event.END, (New.OVER, (Do.QUIT,))),
-    "looks for no death": (Old.DRAINING, Event.END, (Old.DRAINING, ())),
 }
 
 
-class Search(unittest.TestCase):
+class UpgradeSearch(unittest.TestCase):
     def setUp(self) -> None:
         self.search()
 
     def search(self) -> None:
-        self.came_from: dict[World, tuple[World, str] | None] = {World(): None}
+        self.predecessors: dict[World, tuple[World, str] | None] = {World(): None}
         frontier = [World()]
         while frontier:
             world = frontier.pop()
-            for what, after in nexts(world):
-                if after not in self.came_from:
-                    self.came_from[after] = world, what
+            for what, after in next_worlds(world):
+                if after not in self.predecessors:
+                    self.predecessors[after] = world, what
                     frontier.append(after)
 
-    def story(self, world: World) -> str:
+    def trace(self, world: World) -> str:
         steps = [str(world)]
-        while (step := self.came_from[world]) is not None:
+        while (step := self.predecessors[world]) is not None:
             world, what = step
             steps.append(what)
         return "\n".join(reversed(steps))
 
-    def test_what_holds_whatever_happens(self) -> None:
-        self.assertGreater(len(self.came_from), 1000)
-        for world in self.came_from:
+    def test_invariants_hold_in_every_world(self) -> None:
+        self.assertGreater(len(self.predecessors), 1000)
+        for world in self.predecessors:
             both = world.old_accepts and world.new_accepts
-            self.assertFalse(both, self.story(world))
-            if world.finished and not world.told_to_end:
-                self.assertTrue(world.serves, self.story(world))
-            if not settled(world) or world.told_to_end:
+            self.assertFalse(both, self.trace(world))
+            if world.finished and not world.told_to_stop:
+                self.assertTrue(world.serves, self.trace(world))
+            if not settled(world) or world.told_to_stop:
                 continue
             lives = world.old is not DEAD or world.new is not DEAD
-            waits = world.new in (New.ADOPTING, New.READY) and world.old is not DEAD
+            waits = world.new in (SuccessorState.ADOPTING, SuccessorState.READY) and world.old is not DEAD
             accepts = world.old_accepts or world.new_accepts
-            if world.old is Old.COMMITTED or world.old is Old.RETAKING:
-                continue  # under way: `LATE` or the successor's death comes
-            self.assertEqual(lives, accepts, self.story(world))
+            if world.old is OldState.COMMITTED or world.old is OldState.RETAKING:
+                continue  # not final: a timeout or the successor's end follows
+            self.assertEqual(lives, accepts, self.trace(world))
             if world.old is DEAD and world.new is not DEAD:
-                self.assertIs(world.new, New.ALONE, self.story(world))
+                self.assertIs(world.new, SuccessorState.ALONE, self.trace(world))
             if waits:
-                self.assertTrue(world.old_accepts, self.story(world))
-
-    def test_what_is_under_way_comes_to_an_end(self) -> None:
-        """From every state, what comes by itself leads to one that is settled."""
-        by_itself = ("old hears", "new hears", "reaped", "late for the old one", "begun", "nothing owed")
-        for world in self.came_from:
+                self.assertTrue(world.old_accepts, self.trace(world))
+
+    def test_every_world_settles(self) -> None:
+        """From every world, events that need no signal lead to a settled one."""
+        without_signal = (
+            "the old process receives a message",
+            "the successor receives a message",
+            "exit status read",
+            "timeout of the old process",
+            "the successor has started up",
+            "drained",
+        )
+        for world in self.predecessors:
             seen = {world}
             frontier = [world]
             while frontier:
                 at = frontier.pop()
-                moves = [after for what, after in nexts(at) if what in by_itself]
-                if at.doomed:
+                moves = [after for what, after in next_worlds(at) if what in without_signal]
+                if at.kill_pending:
                     moves.append(without_new(at))
                 frontier += [after for after in moves if after not in seen]
                 seen.update(moves)
-            ends = [at for at in seen if settled(at) and at.old not in (Old.COMMITTED, Old.RETAKING)]
-            self.assertTrue(ends, self.story(world))
+            ends = [
+                at for at in seen if settled(at) and at.old not in (OldState.COMMITTED, OldState.RETAKING)
+            ]
+            self.assertTrue(ends, self.trace(world))
 
     def test_every_state_and_action_is_reached(self) -> None:
-        self.assertEqual({w.old for w in self.came_from}, {*Old, DEAD} - {Old.OVER})
-        self.assertEqual({w.new for w in self.came_from}, {*New, DEAD} - {New.OVER})
+        self.assertEqual({w.old for w in self.predecessors}, {*OldState, DEAD} - {OldState.ENDED})
+        self.assertEqual({w.new for w in self.predecessors}, {*SuccessorState, DEAD} - {SuccessorState.ENDED})
         self.assertEqual(
-            {do for table in (OLD, NEW) for _, actions in table.values() for do in actions}, set(Do)
+            {
+                action
+                for table in (OLD_TRANSITIONS, SUCCESSOR_TRANSITIONS)
+                for _, actions in table.values()
+                for action in actions
+            },
+            set(Action),
         )
 
-    def test_faults_planted_in_the_tables_are_found(self) -> None:
-        for name, (state, event, entry) in PLANTED.items():
-            table: Any = OLD if isinstance(state, Old) else NEW
+    def test_faults_in_the_tables_are_found(self) -> None:
+        for name, (state, event, entry) in PLANTED_FAULTS.items():
+            table: Any = OLD_TRANSITIONS if isinstance(state, OldState) else SUCCESSOR_TRANSITIONS
             with self.subTest(name), mock.patch.dict(table, {(state, event): entry}):
                 with self.assertRaises(AssertionError):
                     self.search()
-                    self.test_what_holds_whatever_happens()
+                    self.test_invariants_hold_in_every_world()
 
-    def test_a_message_out_of_turn_is_nonsense(self) -> None:
+    def test_an_unexpected_message_is_invalid(self) -> None:
         for event in MESSAGES - {Event.HELLO}:
-            life = Life(OLD, Old.STARTING)
-            self.assertIn(Do.KILL, life.take(event))
-            self.assertIs(life.state, Old.SERVING)
+            machine = StateMachine(OLD_TRANSITIONS, OldState.STARTING)
+            self.assertIn(Action.KILL, machine.handle(event))
+            self.assertIs(machine.state, OldState.SERVING)
 
 
 if __name__ == "__main__":
--- a/violetsaddle/decide/upgrade.py
+++ b/violetsaddle/decide/upgrade.py
@@ -1,15 +1,14 @@
-"""The life of a hot upgrade: what the old process and its successor are in, and what they do about what
-comes.
+"""The state machines of a hot upgrade: one for the old process and one for its successor.
 
-Whatever moves an upgrade on stands in the two tables here; the rest of the program only tells what happened
-and does what it is told.  Between the two lies a pair of sockets whose end says that the other one has gone.
-`tests/test_upgrade_life.py` searches all that can happen to both and holds it to this:
+The two tables here have all transitions.  The rest of the program only reports events and carries out
+actions.  The processes are connected by a pair of sockets, which closes when one of them ends.
+`tests/test_upgrade_life.py` searches all events that can happen to both and checks these properties:
 
-- The two never accept at once, nor does the successor before `go`.
-- Once nothing is under way between them, one of them accepts, unless the node was told to end or the old one
-  died before `go`.  Then no successor stays behind.
-- The old one ends by itself only after its successor has said that it serves.
-- After its successor's death the old one, unless told to end, accepts again."""
+- The two processes never accept connections at the same time, and the successor not before `go`.
+- Once no event is pending, one of them accepts, unless the node was told to stop, or the old process died
+  before `go`.  In that case no successor remains.
+- The old process ends by itself only after the successor has reported that it serves.
+- If the successor dies, the old process accepts again, unless it was told to stop."""
 
 from __future__ import annotations
 
@@ -18,43 +17,45 @@
 from typing import TypeAlias
 
 
-class Old(enum.Enum):
-    """The process that listens when the upgrade begins."""
+class OldState(enum.Enum):
+    """States of the process that listens when the upgrade begins."""
 
     SERVING = "serving"
-    STARTING = "starting"  # the successor's program was started
-    GREETED = "greeted"  # the successor has spoken, and has the sockets and the state
-    COMMITTED = "committed"  # `go` is out: it accepts no longer
-    RETAKING = "retaking"  # the successor failed after `go`: first its death must be certain
-    DRAINING = "draining"  # the successor serves
-    LEAVING = "leaving"  # it was told to end
-    OVER = "over"
+    STARTING = "starting"  # the successor's process was started
+    GREETED = "greeted"  # the successor has said hello and was given the sockets and the state
+    COMMITTED = "committed"  # `go` was sent: this process no longer accepts
+    RETAKING = (
+        "retaking"  # the successor failed after `go`, and its process must end before this one accepts again
+    )
+    DRAINING = "draining"  # the successor serves; open requests are finished
+    STOPPING = "leaving"  # it was told to stop
+    ENDED = "over"
 
 
-class New(enum.Enum):
-    """The successor."""
+class SuccessorState(enum.Enum):
+    """States of the successor."""
 
     BOOTING = "booting"
     ADOPTING = "adopting"
     READY = "ready"
-    SERVING = "serving"  # the old one drains
-    ALONE = "alone"  # the old one has gone; from here its life is that of `Old.SERVING`
-    LEAVING = "leaving"
-    OVER = "over"
+    SERVING = "serving"  # the old process drains
+    ALONE = "alone"  # the old process has ended; from here on the state is `OldState.SERVING`
+    STOPPING = "leaving"
+    ENDED = "over"
 
 
 class Event(enum.Enum):
-    """What happens to one side; the messages are those of `net/upgrade.py`."""
+    """Events of one process; the messages are those of `net/upgrade.py`."""
 
     UPGRADE = "SIGUSR2"
     TERM = "SIGTERM"
-    BEGUN = "begun"  # the successor's own start is done
-    FAILED = "failed"  # what was to be done can't be
-    LATE = "late"  # the present state has lasted too long
-    EMPTY = "empty"  # nothing is owed any more
-    GONE = "gone"  # the successor has ended, as its parent knows
-    END = "end"  # of what came from the other side
-    NONSENSE = "nonsense"  # came from the other side
+    INITIALIZED = "begun"  # the successor has started up
+    FAILED = "failed"  # an action failed
+    TIMEOUT = "late"  # the current state has lasted too long
+    DRAINED = "empty"  # no request is open any more
+    SUCCESSOR_ENDED = "gone"  # the successor's process has ended, and its exit status was read
+    LINK_CLOSED = "end"  # the other process closed the pair of sockets, or has ended
+    INVALID_MESSAGE = "nonsense"  # the other process sent an unreadable or unexpected message
     # Messages.
     HELLO = "hello"
     STATE = "state"
@@ -70,8 +71,8 @@
 )
 
 
-class Do(enum.Enum):
-    """What one side is to do; the value says it in words."""
+class Action(enum.Enum):
+    """What a process must do on an event."""
 
     SPAWN = "start the successor"
     GIVE = "hand the sockets, the state and the ids over, then say whole"
@@ -95,85 +96,102 @@
     QUIT = "end with status 1"
 
 
-Table: TypeAlias = Mapping[tuple[enum.Enum, Event], tuple[enum.Enum, tuple[Do, ...]]]
+TransitionTable: TypeAlias = Mapping[tuple[enum.Enum, Event], tuple[enum.Enum, tuple[Action, ...]]]
 
-_FAILS = (Old.SERVING, (Do.KILL, Do.TELL))
-_RETAKES = (Old.RETAKING, (Do.KILL,))
-_QUITS = (New.OVER, (Do.QUIT,))
+_UPGRADE_FAILS = (OldState.SERVING, (Action.KILL, Action.TELL))
+_SUCCESSOR_FAILS_AFTER_GO = (OldState.RETAKING, (Action.KILL,))
+_SUCCESSOR_QUITS = (SuccessorState.ENDED, (Action.QUIT,))
 
-OLD: Table = {
-    (Old.SERVING, Event.UPGRADE): (Old.STARTING, (Do.SPAWN,)),
-    (Old.SERVING, Event.TERM): (Old.LEAVING, (Do.STOP,)),
-    (Old.STARTING, Event.FAILED): (Old.SERVING, (Do.TELL,)),
-    (Old.STARTING, Event.HELLO): (Old.GREETED, (Do.GIVE,)),
-    (Old.GREETED, Event.FAILED): _FAILS,
-    (Old.GREETED, Event.READY): (Old.COMMITTED, (Do.PAUSE, Do.SAY_GO)),
+OLD_TRANSITIONS: TransitionTable = {
+    (OldState.SERVING, Event.UPGRADE): (OldState.STARTING, (Action.SPAWN,)),
+    (OldState.SERVING, Event.TERM): (OldState.STOPPING, (Action.STOP,)),
+    (OldState.STARTING, Event.FAILED): (OldState.SERVING, (Action.TELL,)),
+    (OldState.STARTING, Event.HELLO): (OldState.GREETED, (Action.GIVE,)),
+    (OldState.GREETED, Event.FAILED): _UPGRADE_FAILS,
+    (OldState.GREETED, Event.READY): (OldState.COMMITTED, (Action.PAUSE, Action.SAY_GO)),
     **{
-        (state, event): _FAILS
-        for state in (Old.STARTING, Old.GREETED)
-        for event in (Event.END, Event.NONSENSE, Event.LATE)
+        (state, event): _UPGRADE_FAILS
+        for state in (OldState.STARTING, OldState.GREETED)
+        for event in (Event.LINK_CLOSED, Event.INVALID_MESSAGE, Event.TIMEOUT)
+    },
+    **{
+        (state, Event.TERM): (OldState.STOPPING, (Action.KILL, Action.STOP))
+        for state in (OldState.STARTING, OldState.GREETED)
+    },
+    (OldState.COMMITTED, Event.SERVES): (OldState.DRAINING, (Action.DRAIN,)),
+    (OldState.COMMITTED, Event.LINK_CLOSED): _SUCCESSOR_FAILS_AFTER_GO,
+    (OldState.COMMITTED, Event.INVALID_MESSAGE): _SUCCESSOR_FAILS_AFTER_GO,
+    (OldState.COMMITTED, Event.TIMEOUT): _SUCCESSOR_FAILS_AFTER_GO,
+    (OldState.COMMITTED, Event.TERM): (OldState.STOPPING, (Action.STOP,)),
+    (OldState.RETAKING, Event.SUCCESSOR_ENDED): (OldState.SERVING, (Action.RESUME, Action.TELL)),
+    (OldState.RETAKING, Event.TERM): (OldState.STOPPING, (Action.STOP,)),
+    (OldState.DRAINING, Event.LINK_CLOSED): (OldState.DRAINING, (Action.LOOK,)),
+    (OldState.DRAINING, Event.INVALID_MESSAGE): (OldState.DRAINING, (Action.HANG_UP, Action.LOOK)),
+    (OldState.DRAINING, Event.SUCCESSOR_ENDED): (OldState.SERVING, (Action.RESUME, Action.TELL)),
+    (OldState.DRAINING, Event.ENDING): (OldState.STOPPING, (Action.STOP,)),
+    (OldState.DRAINING, Event.TERM): (OldState.STOPPING, (Action.STOP,)),
+    (OldState.DRAINING, Event.DRAINED): (OldState.ENDED, (Action.FINISH,)),
+    (OldState.DRAINING, Event.TIMEOUT): (OldState.ENDED, (Action.FINISH,)),
+    (OldState.STOPPING, Event.SERVES): (OldState.STOPPING, ()),  # `go` and SIGTERM crossed
+    (OldState.STOPPING, Event.ENDING): (OldState.STOPPING, ()),
+    (OldState.STOPPING, Event.DRAINED): (OldState.ENDED, (Action.FINISH,)),
+    **{
+        (state, Event.UPGRADE): (state, (Action.REFUSE,))
+        for state in OldState
+        if state is not OldState.SERVING
     },
-    **{(state, Event.TERM): (Old.LEAVING, (Do.KILL, Do.STOP)) for state in (Old.STARTING, Old.GREETED)},
-    (Old.COMMITTED, Event.SERVES): (Old.DRAINING, (Do.DRAIN,)),
-    (Old.COMMITTED, Event.END): _RETAKES,
-    (Old.COMMITTED, Event.NONSENSE): _RETAKES,
-    (Old.COMMITTED, Event.LATE): _RETAKES,
-    (Old.COMMITTED, Event.TERM): (Old.LEAVING, (Do.STOP,)),
-    (Old.RETAKING, Event.GONE): (Old.SERVING, (Do.RESUME, Do.TELL)),
-    (Old.RETAKING, Event.TERM): (Old.LEAVING, (Do.STOP,)),
-    (Old.DRAINING, Event.END): (Old.DRAINING, (Do.LOOK,)),
-    (Old.DRAINING, Event.NONSENSE): (Old.DRAINING, (Do.HANG_UP, Do.LOOK)),
-    (Old.DRAINING, Event.GONE): (Old.SERVING, (Do.RESUME, Do.TELL)),
-    (Old.DRAINING, Event.ENDING): (Old.LEAVING, (Do.STOP,)),
-    (Old.DRAINING, Event.TERM): (Old.LEAVING, (Do.STOP,)),
-    (Old.DRAINING, Event.EMPTY): (Old.OVER, (Do.FINISH,)),
-    (Old.DRAINING, Event.LATE): (Old.OVER, (Do.FINISH,)),
-    (Old.LEAVING, Event.SERVES): (Old.LEAVING, ()),  # `go` and SIGTERM crossed
-    (Old.LEAVING, Event.ENDING): (Old.LEAVING, ()),
-    (Old.LEAVING, Event.EMPTY): (Old.OVER, (Do.FINISH,)),
-    **{(state, Event.UPGRADE): (state, (Do.REFUSE,)) for state in Old if state is not Old.SERVING},
 }
 
-NEW: Table = {
-    (New.BOOTING, Event.BEGUN): (New.ADOPTING, (Do.SAY_HELLO,)),
-    (New.BOOTING, Event.TERM): _QUITS,
-    (New.ADOPTING, Event.STATE): (New.ADOPTING, (Do.ADOPT,)),
-    (New.ADOPTING, Event.WHOLE): (New.READY, (Do.SAY_READY,)),
-    (New.READY, Event.GO): (New.SERVING, (Do.RESUME, Do.SAY_SERVES)),
+SUCCESSOR_TRANSITIONS: TransitionTable = {
+    (SuccessorState.BOOTING, Event.INITIALIZED): (SuccessorState.ADOPTING, (Action.SAY_HELLO,)),
+    (SuccessorState.BOOTING, Event.TERM): _SUCCESSOR_QUITS,
+    (SuccessorState.ADOPTING, Event.STATE): (SuccessorState.ADOPTING, (Action.ADOPT,)),
+    (SuccessorState.ADOPTING, Event.WHOLE): (SuccessorState.READY, (Action.SAY_READY,)),
+    (SuccessorState.READY, Event.GO): (SuccessorState.SERVING, (Action.RESUME, Action.SAY_SERVES)),
     **{
-        (state, event): _QUITS
-        for state in (New.ADOPTING, New.READY)
-        for event in (Event.END, Event.NONSENSE, Event.LATE, Event.FAILED, Event.TERM)
+        (state, event): _SUCCESSOR_QUITS
+        for state in (SuccessorState.ADOPTING, SuccessorState.READY)
+        for event in (Event.LINK_CLOSED, Event.INVALID_MESSAGE, Event.TIMEOUT, Event.FAILED, Event.TERM)
+    },
+    (SuccessorState.SERVING, Event.LINK_CLOSED): (SuccessorState.ALONE, (Action.FORGET,)),
+    (SuccessorState.SERVING, Event.INVALID_MESSAGE): (SuccessorState.ALONE, (Action.HANG_UP, Action.FORGET)),
+    (SuccessorState.SERVING, Event.TERM): (SuccessorState.STOPPING, (Action.SAY_ENDING, Action.STOP)),
+    (SuccessorState.STOPPING, Event.LINK_CLOSED): (SuccessorState.STOPPING, (Action.FORGET,)),
+    (SuccessorState.STOPPING, Event.INVALID_MESSAGE): (
+        SuccessorState.STOPPING,
+        (Action.HANG_UP, Action.FORGET),
+    ),
+    **{
+        (state, Event.UPGRADE): (state, (Action.REFUSE,))
+        for state in SuccessorState
+        if state is not SuccessorState.ALONE
     },
-    (New.SERVING, Event.END): (New.ALONE, (Do.FORGET,)),
-    (New.SERVING, Event.NONSENSE): (New.ALONE, (Do.HANG_UP, Do.FORGET)),
-    (New.SERVING, Event.TERM): (New.LEAVING, (Do.SAY_ENDING, Do.STOP)),
-    (New.LEAVING, Event.END): (New.LEAVING, (Do.FORGET,)),
-    (New.LEAVING, Event.NONSENSE): (New.LEAVING, (Do.HANG_UP, Do.FORGET)),
-    **{(state, Event.UPGRADE): (state, (Do.REFUSE,)) for state in New if state is not New.ALONE},
 }
 
 
-class Life:
-    """One side's state.  What a table does not hold changes nothing, save for a message: that is nonsense."""
+class StateMachine:
+    """The state of one process.
+
+    An event that the table does not have for the state is ignored.  A message that it does not have counts as
+    `Event.INVALID_MESSAGE`."""
 
-    def __init__(self, table: Table, state: enum.Enum) -> None:
-        """`table`: `OLD` or `NEW`."""
+    def __init__(self, table: TransitionTable, state: enum.Enum) -> None:
+        """`table`: `OLD_TRANSITIONS` or `SUCCESSOR_TRANSITIONS`; `state`: the first state."""
         self._table, self.state = table, state
 
-    def take(self, event: Event) -> tuple[Do, ...]:
-        """Moves on, and gives what is to be done, in this order."""
+    def handle(self, event: Event) -> tuple[Action, ...]:
+        """Changes the state; returns the actions in the order in which they must be carried out."""
         if event in MESSAGES and (self.state, event) not in self._table:
-            event = Event.NONSENSE
+            event = Event.INVALID_MESSAGE
         self.state, actions = self._table.get((self.state, event), (self.state, ()))
         return actions
 
 
-def old() -> Life:
-    """The life of a process that listens."""
-    return Life(OLD, Old.SERVING)
+def old_process() -> StateMachine:
+    """The state machine of a process that listens."""
+    return StateMachine(OLD_TRANSITIONS, OldState.SERVING)
 
 
-def new() -> Life:
-    """The life of a successor."""
-    return Life(NEW, New.BOOTING)
+def successor() -> StateMachine:
+    """The state machine of a successor."""
+    return StateMachine(SUCCESSOR_TRANSITIONS, SuccessorState.BOOTING)
--- a/violetsaddle/net/upgrade.py
+++ b/violetsaddle/net/upgrade.py
@@ -27,7 +27,7 @@
 
 from violetsaddle.decide import upgrade as decide
 from violetsaddle.decide.memory import Listing
-from violetsaddle.decide.upgrade import Do, Event, New, Old
+from violetsaddle.decide.upgrade import Action, Event, OldState, SuccessorState
 from violetsaddle.net.callbacks import called, take_call
 from violetsaddle.net.deadlines import Deadline, Deadlines, Reactor
 from violetsaddle.net.early import SUCCESSOR
@@ -338,7 +338,7 @@
         self._reactor, self._node, self._config, self._told = reactor, node, config, told
         self._pair, self._step = pair, step
         self._counters, self._deadlines, self._requests = node.counters, node.deadlines, node.requests
-        self._life = decide.new() if pair is not None else decide.old()
+        self._life = decide.successor() if pair is not None else decide.old_process()
         self._link: Link | None = None
         self._child: Child | None = None
         self._late: Deadline | None = None
@@ -351,27 +351,27 @@
         self._called = 0
         self._listing = Listing()
         node.discovery.seen.append(self._listing.take)
-        self._acts: dict[Do, Callable[[], None]] = {
-            Do.SPAWN: self._spawn,
-            Do.GIVE: self._give,
-            Do.PAUSE: self._pause,
-            Do.SAY_GO: self._go,
-            Do.DRAIN: self._drain,
-            Do.KILL: self._kill,
-            Do.LOOK: self._look,
-            Do.RESUME: self._resume,
-            Do.TELL: self._tell,
-            Do.REFUSE: self._refuse,
-            Do.STOP: self._stop,
-            Do.FINISH: self._finish,
-            Do.SAY_HELLO: lambda: self._say(Hello(PROTOCOL, os.getpid())),
-            Do.ADOPT: self._adopt,
-            Do.SAY_READY: lambda: self._say(Ready()),
-            Do.SAY_SERVES: self._serves,
-            Do.SAY_ENDING: self._ending,
-            Do.HANG_UP: self._hang_up,
-            Do.FORGET: self._forget,
-            Do.QUIT: self._quit,
+        self._acts: dict[Action, Callable[[], None]] = {
+            Action.SPAWN: self._spawn,
+            Action.GIVE: self._give,
+            Action.PAUSE: self._pause,
+            Action.SAY_GO: self._go,
+            Action.DRAIN: self._drain,
+            Action.KILL: self._kill,
+            Action.LOOK: self._look,
+            Action.RESUME: self._resume,
+            Action.TELL: self._tell,
+            Action.REFUSE: self._refuse,
+            Action.STOP: self._stop,
+            Action.FINISH: self._finish,
+            Action.SAY_HELLO: lambda: self._say(Hello(PROTOCOL, os.getpid())),
+            Action.ADOPT: self._adopt,
+            Action.SAY_READY: lambda: self._say(Ready()),
+            Action.SAY_SERVES: self._serves,
+            Action.SAY_ENDING: self._ending,
+            Action.HANG_UP: self._hang_up,
+            Action.FORGET: self._forget,
+            Action.QUIT: self._quit,
         }
 
     # Its start, signals and end.
@@ -380,7 +380,7 @@
         """Listens, or asks the predecessor for its sockets; raises as `Node.start`."""
         if self._pair is not None:
             self._link = Link(self._reactor, self._pair, MOST_STATE, self._heard, self._lost)
-            self._event(Event.BEGUN)
+            self._event(Event.INITIALIZED)
             return
         host, port = self._config.listen
         try:
@@ -401,7 +401,7 @@
 
     def asked(self) -> None:
         """On SIGUSR2; where no upgrade is offered nothing happens."""
-        if not self._told.offered and self._life.state in (Old.SERVING, New.ALONE):
+        if not self._told.offered and self._life.state in (OldState.SERVING, SuccessorState.ALONE):
             return
         self._event(Event.UPGRADE)
 
@@ -436,8 +436,8 @@
     def _take(self, event: Event) -> None:
         before = self._life.state
         self._step(f"{event.value} in {before.value}")
-        actions = self._life.take(event)
-        if event is not Event.FAILED and (Do.KILL in actions or Do.LOOK in actions):
+        actions = self._life.handle(event)
+        if event is not Event.FAILED and (Action.KILL in actions or Action.LOOK in actions):
             self._why = self._reason(event, before)
         for do in actions:
             try:
@@ -449,20 +449,20 @@
             self._step(f"after {do.name.lower()} on {event.value}")
         if self._life.state is not before:
             self._wait()
-        if self._life.state is New.ALONE:
-            self._life = decide.old()
+        if self._life.state is SuccessorState.ALONE:
+            self._life = decide.old_process()
 
     def _wait(self) -> None:
         """Sets the time that the present state may last."""
         state = self._life.state
-        if state in (Old.GREETED, New.READY):
+        if state in (OldState.GREETED, SuccessorState.READY):
             return  # these share the time of the state before
         self._deadlines.drop(self._late)
         waits: dict[Any, int] = {
-            Old.STARTING: self._told.wait,
-            Old.COMMITTED: SERVE_WITHIN,
-            Old.DRAINING: self._told.drain,
-            New.ADOPTING: 2 * self._told.wait,
+            OldState.STARTING: self._told.wait,
+            OldState.COMMITTED: SERVE_WITHIN,
+            OldState.DRAINING: self._told.drain,
+            SuccessorState.ADOPTING: 2 * self._told.wait,
         }
         self._late = self._deadlines.after(waits[state], self._is_late) if state in waits else None
 
@@ -471,14 +471,14 @@
         state, link = self._life.state, self._link
         if link is not None:
             link.read_now()
-        if self._life.state is state or state in (Old.STARTING, New.ADOPTING):
-            self._event(Event.LATE)
+        if self._life.state is state or state in (OldState.STARTING, SuccessorState.ADOPTING):
+            self._event(Event.TIMEOUT)
 
     def _reason(self, event: Event, state: Any) -> str:
-        if event is Event.LATE:
-            within = SERVE_WITHIN if state is Old.COMMITTED else self._told.wait
+        if event is Event.TIMEOUT:
+            within = SERVE_WITHIN if state is OldState.COMMITTED else self._told.wait
             return f"was not ready within {within / SECOND:g} s"
-        return "ended" if event is Event.END else "is of another version, or broken"
+        return "ended" if event is Event.LINK_CLOSED else "is of another version, or broken"
 
     # The pair.
 
@@ -491,7 +491,7 @@
         self._step(f"heard {type(message).__name__.lower()}")
         event = EVENTS.get(type(message))  # type: ignore[arg-type]
         if message is None or (isinstance(message, Hello) and message.protocol != PROTOCOL):
-            self._event(Event.NONSENSE)
+            self._event(Event.INVALID_MESSAGE)
         elif event is not None:
             self._message = message
             self._event(event)
@@ -514,7 +514,7 @@
 
     def _lost(self) -> None:
         self._link = None
-        self._event(Event.END)
+        self._event(Event.LINK_CLOSED)
 
     def _hang_up(self) -> None:
         if self._link is not None:
@@ -642,7 +642,7 @@
         assert self._child is not None
         self._counters.say(f"upgraded: {self._child.pid} serves, {os.getpid()} drains")
         notify(f"MAINPID={self._child.pid}")
-        self._node.drain(min(IDLE_FOR, self._told.drain // 2), lambda: self._event(Event.EMPTY))
+        self._node.drain(min(IDLE_FOR, self._told.drain // 2), lambda: self._event(Event.DRAINED))
 
     def _kill(self) -> None:
         self._hang_up()
@@ -665,7 +665,7 @@
         self._step("successor reaped")
         if child is self._child:
             self._child = None
-            self._event(Event.GONE)
+            self._event(Event.SUCCESSOR_ENDED)
 
     def _tell(self) -> None:
         self._counters.add("upgrades_failed")
