--- a/tests/test_reconfigure.py
+++ b/tests/test_reconfigure.py
@@ -10,7 +10,17 @@
 from hypothesis import strategies as st
 
 from tests.helpers import CLASSES, MS, SECOND, Recorder, make, run_until
-from tests.test_repeats import DEADLINE, EVENTS, SPECS, Watched, advance, happen, job_of, told, up_and_written
+from tests.test_repeats import (
+    DEADLINE,
+    EVENTS,
+    SPECS,
+    CheckedNet,
+    advance,
+    apply_event,
+    connect_and_write,
+    job_of,
+    make_settings,
+)
 from tests.wired import Client, Job, Net, Wire
 from violetsaddle import Balancer, Entry, RequestClass, Settings, Tenant
 from violetsaddle import interface as api
@@ -276,7 +286,11 @@
     """The node's network part, between a network and a clock that the test holds."""
 
     def net(self, **changes: Any) -> Net:
-        net = Net(told(RequestClass(200 * MS, DEADLINE), RequestClass(200 * MS, DEADLINE, UNSAFE), **changes))
+        net = Net(
+            make_settings(
+                RequestClass(200 * MS, DEADLINE), RequestClass(200 * MS, DEADLINE, UNSAFE), **changes
+            )
+        )
         net.listed(api.DISK, **{f"s-{n}": (api.ACTIVE, 0, n) for n in range(1, 6)})
         return net
 
@@ -285,7 +299,7 @@
 
     def started(self, net: Net, job: str, cls: int = 0) -> tuple[Client, Wire]:
         client = net.ask(job, cls, DEADLINE)
-        wire = up_and_written(net)
+        wire = connect_and_write(net)
         self.assertEqual(job_of(wire), job)
         wire.answer("202")
         net.call(job, f"s-{wire.at[1]}", "started")
@@ -337,7 +351,7 @@
         client, wire = self.started(net, "a")
         self.change(net, may_cancel=False)
         net.call("a", f"s-{wire.at[1]}", "lost")
-        second = up_and_written(net)
+        second = connect_and_write(net)
         self.assertEqual(job_of(second), "a")
         second.answer("202")
         advance(net, QUIET)
@@ -438,7 +452,7 @@
 def test_every_order_of_events_keeps_the_rules_while_settings_change(
     spec: RequestClass, cancel: bool, events: list[tuple[str, int]], changes: list[tuple[int, dict[str, Any]]]
 ) -> None:
-    net = Watched(spec, cancel)
+    net = CheckedNet(spec, cancel)
     net.zones = {f"s-{n}": n % 2 for n in range(1, 6)}
     net.listed(api.DISK, **{name: (api.ACTIVE, zone, int(name[2:])) for name, zone in net.zones.items()})
     asked: dict[str, Any] = {}
@@ -449,7 +463,7 @@
         for place, change in changes:
             if place == at:
                 net.requests.reconfigure(replace(net.requests._told, **change))
-        happen(net, what, which, asked)
+        apply_event(net, what, which, asked)
         for job, (client, _) in asked.items():
             if client.answers == ["turned down"]:
                 assert net.may_refuse(job), f"{job} may have run and was refused"
--- a/tests/test_repeats.py
+++ b/tests/test_repeats.py
@@ -1,6 +1,6 @@
-"""What must not run twice: cases that were seen or read, and a search over orders of events.
+"""Requests must not run twice: single cases, and a property test over generated orders of events.
 
-The oracle is kept apart from the program: it sees bytes that leave, and what was said to the program."""
+The oracle does not use the program's state.  It sees the bytes that leave and what is sent to the program."""
 
 from __future__ import annotations
 
@@ -18,7 +18,7 @@
 DEADLINE = 4 * SECOND
 
 
-def told(*classes: RequestClass, **changes: Any) -> Settings:
+def make_settings(*classes: RequestClass, **changes: Any) -> Settings:
     return Settings(
         classes=classes,
         zones=2,
@@ -41,21 +41,21 @@
     return wire.message.split(b" ")[2].decode() if wire.message.startswith(b"POST") else ""
 
 
-def up_and_written(net: Net) -> Wire:
+def connect_and_write(net: Net) -> Wire:
     wire = net.live()[-1]
     wire.up()
     wire.flush()
     return wire
 
 
-def three(spec: RequestClass, **changes: Any) -> Net:
-    net = Net(told(spec, **changes))
+def three_servers(spec: RequestClass, **changes: Any) -> Net:
+    net = Net(make_settings(spec, **changes))
     net.listed(api.DISK, **{f"s-{n}": (api.ACTIVE, 0, n) for n in (1, 2, 3)})
     return net
 
 
 def confirm_delete(net: Net) -> None:
-    """The DELETE that was sent last is answered; it waited until its connection had been quiet."""
+    """Answers the DELETE that was sent last; it is sent once its connection has been quiet."""
     advance(net, 26 * MS)
     wire = net.live()[-1]
     if wire.protocol is None:
@@ -65,34 +65,34 @@
     wire.answer("204")
 
 
-def want_work(net: Net, servers: list[int], state: str = api.ACTIVE) -> None:
-    """Discovery tells that these want work or, where they drain, that they don't."""
+def list_as(net: Net, servers: list[int], state: str = api.ACTIVE) -> None:
+    """Discovery lists these servers with the given state."""
     net.listed(api.DIFF, **{f"s-{n}": (state, 0, n) for n in servers})
 
 
-def taken_at_the_only_one(spec: RequestClass) -> tuple[Net, Wire, list[int]]:
-    """Request a is taken, and the other servers drain: the connection that carried it, and these others."""
-    net = three(spec)
+def accepted_by_the_only_active_server(spec: RequestClass) -> tuple[Net, Wire, list[int]]:
+    """Request a is accepted, the other servers drain; returns its connection and the others' numbers."""
+    net = three_servers(spec)
     net.ask("a", 0, DEADLINE)
-    wire = up_and_written(net)
+    wire = connect_and_write(net)
     wire.answer("202")
     others = [n for n in (1, 2, 3) if n != wire.at[1]]
-    want_work(net, others, api.DRAINING)
+    list_as(net, others, api.DRAINING)
     return net, wire, others
 
 
 def advance(net: Net, time: int) -> None:
-    """In steps of a millisecond, as the reactor would turn."""
+    """Advances the clock by `time` microseconds, in steps of a millisecond as a reactor would."""
     for _ in range(time // MS):
         net.clock.advance(0.001)
 
 
 def test_a_repeat_that_waits_for_a_real_server_does_not_outlast_its_window() -> None:
-    # Seen: sent at 13.50 s, its second try found no connection at 13.91 s, and the third, held because no
-    # other worker of the group was ready, left at 15.10 s, with a window of 1.5 s.
-    net = three(keyed(1500 * MS))
+    # The second attempt finds no connection.  The third is held because no other worker of the group is
+    # ready, and used to leave after the window of 1.5 s: 1.6 s after the first send.
+    net = three_servers(keyed(1500 * MS))
     client = net.ask("a", 0, DEADLINE)
-    up_and_written(net).lose()
+    connect_and_write(net).lose()
     confirm_delete(net)
     net.listed(api.DIFF, **{f"s-{n}": (api.DRAINING, 0, n) for n in (1, 2, 3)})
     advance(net, 200 * MS)
@@ -104,9 +104,9 @@
 
 
 def test_a_repeat_whose_connection_comes_up_too_late_never_leaves() -> None:
-    net = three(keyed(600 * MS), connect_timeout=400 * MS, tells_start=False)
+    net = three_servers(keyed(600 * MS), connect_timeout=400 * MS, tells_start=False)
     client = net.ask("a", 0, DEADLINE)
-    first = up_and_written(net)
+    first = connect_and_write(net)
     advance(net, 50 * MS)
     first.lose()
     confirm_delete(net)
@@ -119,22 +119,22 @@
 
 
 @pytest.mark.parametrize("last", ["returned", "turned away"])
-def test_never_ran_after_a_start_was_told_proves_nothing(last: str) -> None:
-    net = three(RequestClass(200 * MS, DEADLINE, UNSAFE))
+def test_a_return_after_a_reported_start_proves_nothing(last: str) -> None:
+    net = three_servers(RequestClass(200 * MS, DEADLINE, UNSAFE))
     client = net.ask("a", 0, DEADLINE)
-    wire = up_and_written(net)
+    wire = connect_and_write(net)
     name = f"s-{wire.at[1]}"
     if last == "returned":
         wire.answer("202")
     net.call("a", name, "started")
     net.call("a", name, "returned") if last == "returned" else wire.answer(last)
-    assert not client.answers, "first it is given up"
+    assert not client.answers, "it must be given up first"
     confirm_delete(net)
     assert client.answers == ["failed"] and net.counters.get("attempts") == 1
 
 
-def test_no_word_counts_before_the_last_byte_has_left() -> None:
-    net = three(RequestClass(200 * MS, DEADLINE, UNSAFE))
+def test_callbacks_and_answers_are_ignored_before_the_last_byte_has_left() -> None:
+    net = three_servers(RequestClass(200 * MS, DEADLINE, UNSAFE))
     client = net.ask("a", 0, DEADLINE)
     wire = net.live()[-1]
     for state in ("started", "returned", "done", "lost"):
@@ -144,49 +144,51 @@
     assert not client.answers and len(net.wires) == 1 and net.counters.get("callbacks_unmatched") == 4
     wire.answer("turned away")
     advance(net, 1 * MS)
-    assert wire.over and wire.message.endswith(b"..."), "the rest must not follow: it would be begun"
-    assert len(net.live()) == 1, "it never ran: another may have it"
+    assert wire.over and wire.message.endswith(b"..."), "the rest must not follow, or the job could run"
+    assert len(net.live()) == 1, "it never ran: another server may get it"
 
 
 @pytest.mark.parametrize("second", ["turned away", "500"])
-def test_a_late_second_answer_is_no_turn_down_of_the_next_request(second: str) -> None:
-    net, wire, others = taken_at_the_only_one(RequestClass(200 * MS, DEADLINE, SAFE))
+def test_a_late_second_answer_does_not_count_for_the_next_request(second: str) -> None:
+    net, wire, others = accepted_by_the_only_active_server(RequestClass(200 * MS, DEADLINE, SAFE))
     net.ask("b", 0, DEADLINE)
     wire.flush()
     assert job_of(wire) == "b"
-    want_work(net, others)
-    wire.answer(second)  # to a: it comes some milliseconds late
+    list_as(net, others)
+    wire.answer(second)  # to a, some milliseconds late
     advance(net, 5 * MS)
-    assert net.counters.get("odd_words") == 1, "b may run: it is given up first"
+    assert net.counters.get("odd_words") == 1, "b may run: it must be given up first"
     assert net.counters.get("attempts") == 2
     confirm_delete(net)
     assert net.counters.get("attempts") == 3
 
 
-def test_an_answer_that_lies_unread_is_none_to_the_next_request() -> None:
-    # The node was held up: it writes before it reads what had come.
-    net = Net(told(RequestClass(200 * MS, DEADLINE, KEYED, "all", DEADLINE)))
+def test_an_unread_answer_does_not_count_for_the_next_request() -> None:
+    # After a stall the node writes before it reads what has arrived.
+    net = Net(make_settings(RequestClass(200 * MS, DEADLINE, KEYED, "all", DEADLINE)))
     net.listed(api.DISK, **{"s-1": (api.ACTIVE, 0, 1)})
     net.ask("a", 0, DEADLINE)
-    wire = up_and_written(net)
+    wire = connect_and_write(net)
     wire.answer("202")
     advance(net, 30 * MS)
     wire.unread = b"HTTP/1.1 503 No"
     net.ask("b", 0, DEADLINE)
     wire.flush()
     assert job_of(wire) == "a"
-    assert job_of(up_and_written(net)) == "b"
+    assert job_of(connect_and_write(net)) == "b"
 
 
 @pytest.mark.parametrize("own", ["turned away", "500"])
-def test_an_answer_that_comes_one_request_late_is_none_to_a_keyed_request(own: str) -> None:
-    # A second 202 is taken for that of the next request; that one's own is then taken for a third one's.
+def test_an_answer_that_is_one_request_late_does_not_count_for_a_keyed_request(own: str) -> None:
+    # A second 202 to a is taken for the answer to b; the answer to b must not be taken for that to c.
     net = Net(
-        told(RequestClass(200 * MS, DEADLINE, SAFE), RequestClass(200 * MS, DEADLINE, KEYED, "all", DEADLINE))
+        make_settings(
+            RequestClass(200 * MS, DEADLINE, SAFE), RequestClass(200 * MS, DEADLINE, KEYED, "all", DEADLINE)
+        )
     )
     net.listed(api.DISK, **{"s-1": (api.ACTIVE, 0, 1)})
     net.ask("a", 0, DEADLINE)
-    wire = up_and_written(net)
+    wire = connect_and_write(net)
     wire.answer("202")
     net.ask("b", 0, DEADLINE)
     wire.flush()
@@ -195,8 +197,8 @@
     advance(net, 30 * MS)
     client = net.ask("c", 1, DEADLINE)
     wire.flush()
-    assert job_of(wire) == "b", "the answer to b may still come there"
-    up_and_written(net)
+    assert job_of(wire) == "b", "the answer to b may still arrive on this connection"
+    connect_and_write(net)
     net.listed(api.DIFF, **{"s-2": (api.ACTIVE, 0, 2)})
     wire.answer(own)  # to b
     advance(net, 5 * MS)
@@ -204,18 +206,18 @@
 
 
 def test_a_late_second_answer_does_not_confirm_a_delete() -> None:
-    # It was taken for the DELETE's answer, and the next attempt left beside a job that nobody had given up.
-    net, wire, others = taken_at_the_only_one(RequestClass(200 * MS, DEADLINE, SAFE))
+    # It used to count as the answer to the DELETE: the next attempt left although the job was not given up.
+    net, wire, others = accepted_by_the_only_active_server(RequestClass(200 * MS, DEADLINE, SAFE))
     advance(net, 74 * MS)
     net.ask("b", 0, DEADLINE)
     wire.flush()
     assert job_of(wire) == "b"
     wire.answer("202")
-    want_work(net, others)
-    advance(net, 8 * MS)  # the first has not started: it is given up
+    list_as(net, others)
+    advance(net, 8 * MS)  # a has not started in time and is given up
     assert net.counters.get("deletes") == 1
     wire.flush()
-    wire.answer("202")  # to b, for the second time: nothing was asked, and it closes
+    wire.answer("202")  # to b, for the second time: no request is open, so the node closes the connection
     advance(net, 26 * MS)
     for other in net.live():
         if other.protocol is None:
@@ -226,12 +228,12 @@
     )
     deleting = next(w for w in net.live() if w.message.startswith(b"DELETE"))
     deleting.answer("204")
-    up_and_written(net)
+    connect_and_write(net)
     assert [job_of(w) for w in net.wires].count("a") == 1
 
 
 def test_a_late_second_confirmation_confirms_no_other_delete() -> None:
-    net, wire, others = taken_at_the_only_one(RequestClass(200 * MS, DEADLINE, SAFE))
+    net, wire, others = accepted_by_the_only_active_server(RequestClass(200 * MS, DEADLINE, SAFE))
     advance(net, 30 * MS)
     net.ask("b", 0, DEADLINE)
     wire.flush()
@@ -248,25 +250,25 @@
     assert net.counters.get("outcome_cancelled") == 1, "nobody has confirmed the end of b"
 
 
-def test_a_server_that_left_and_came_back_is_not_asked_twice() -> None:
-    net = Net(told(RequestClass(200 * MS, DEADLINE, UNSAFE)))
+def test_a_server_that_left_the_list_and_returned_gets_no_second_attempt() -> None:
+    net = Net(make_settings(RequestClass(200 * MS, DEADLINE, UNSAFE)))
     net.listed(api.DISK, one=(api.ACTIVE, 0, 1))
     client = net.ask("a", 0, DEADLINE)
-    wire = up_and_written(net)
+    wire = connect_and_write(net)
     wire.answer("202")
     net.listed(api.DIFF, one=(api.GONE, 0, 1))
     net.listed(api.DIFF, one=(api.ACTIVE, 0, 1))
     net.call("a", "one", "returned")
-    net.call("a", "one", "returned")  # it repeats each call until it is answered
+    net.call("a", "one", "returned")  # servers repeat a callback until it is answered
     advance(net, DEADLINE)
     assert net.counters.get("attempts") == 1 and client.answers == ["turned down"]
 
 
-def test_a_server_that_moved_under_its_old_name_answers_for_neither_zone() -> None:
-    net = Net(told(keyed(3 * SECOND)))
+def test_a_server_that_moved_to_another_zone_counts_for_neither_zone() -> None:
+    net = Net(make_settings(keyed(3 * SECOND)))
     net.listed(api.DISK, one=(api.ACTIVE, 0, 1), two=(api.DRAINING, 0, 2), three=(api.DRAINING, 1, 3))
     client = net.ask("a", 0, DEADLINE)
-    up_and_written(net)
+    connect_and_write(net)
     net.listed(api.SNAPSHOT, two=(api.ACTIVE, 0, 2), three=(api.ACTIVE, 1, 3))
     net.listed(api.DIFF, one=(api.ACTIVE, 1, 1))
     net.call("a", "one", "lost")
@@ -274,29 +276,29 @@
     assert len(net.wires) == 1 and client.answers == ["failed"]
 
 
-def test_without_cancels_an_odd_answer_ends_with_its_connection() -> None:
-    net = three(RequestClass(200 * MS, DEADLINE, SAFE), may_cancel=False)
+def test_without_cancel_an_unexpected_answer_closes_the_connection() -> None:
+    net = three_servers(RequestClass(200 * MS, DEADLINE, SAFE), may_cancel=False)
     net.ask("a", 0, DEADLINE)
-    wire = up_and_written(net)
+    wire = connect_and_write(net)
     wire.answer("404")
     advance(net, 1 * MS)
     assert wire.over and len(net.live()) == 1
 
 
-def given_up(net: Net) -> tuple[Wire, Wire]:
-    """A job that does not start in time: the connection that carried it, and that of its DELETE."""
+def job_not_started_in_time(net: Net) -> tuple[Wire, Wire]:
+    """Gives up a job that does not start in time; returns its connection and that of its DELETE."""
     net.ask("a", 0, DEADLINE)
-    wire = up_and_written(net)
+    wire = connect_and_write(net)
     advance(net, 85 * MS)
-    return wire, up_and_written(net)
+    return wire, connect_and_write(net)
 
 
-@pytest.mark.parametrize("taken", [False, True])
-def test_silence_and_lost_connections_do_not_confirm_a_delete(taken: bool) -> None:
-    net = three(RequestClass(200 * MS, DEADLINE, SAFE))
+@pytest.mark.parametrize("accepted", [False, True])
+def test_silence_and_lost_connections_do_not_confirm_a_delete(accepted: bool) -> None:
+    net = three_servers(RequestClass(200 * MS, DEADLINE, SAFE))
     net.ask("a", 0, DEADLINE)
-    wire = up_and_written(net)
-    if taken:
+    wire = connect_and_write(net)
+    if accepted:
         wire.answer("202")
     advance(net, 85 * MS)
     advance(net, 700 * MS)
@@ -310,14 +312,14 @@
 
 
 def test_a_late_acceptance_does_not_confirm_a_delete() -> None:
-    # A second 202 to the job before is taken for the job's own, and the executor stands still.  Its 202 to
-    # the job then comes while the DELETE is out on the same connection.
-    net, wire, others = taken_at_the_only_one(RequestClass(200 * MS, DEADLINE, SAFE))
-    advance(net, 30 * MS)  # later than is foreseen
+    # A second 202 to a is taken for the answer to b, and the server stalls.  Its 202 to b then arrives while
+    # the DELETE of b is open on the same connection.
+    net, wire, others = accepted_by_the_only_active_server(RequestClass(200 * MS, DEADLINE, SAFE))
+    advance(net, 30 * MS)  # longer than the node waits for a late second answer
     net.ask("b", 0, DEADLINE)
     wire.flush()
     wire.answer("202")  # to a, for the second time
-    want_work(net, others)
+    list_as(net, others)
     net.call("a", f"s-{wire.at[1]}", "done")
     advance(net, 85 * MS)
     wire.flush()
@@ -325,34 +327,34 @@
     wire.answer("202")  # to b
     advance(net, 5 * MS)
     assert net.counters.get("attempts") == 2
-    assert wire.over, "the DELETE's own answer would be taken for the next one's"
+    assert wire.over, "the answer to the DELETE would be taken for that of the next request"
     confirm_delete(net)
     assert net.counters.get("attempts") == 3
 
 
 def test_an_error_does_not_confirm_a_delete() -> None:
-    net = three(RequestClass(200 * MS, DEADLINE, SAFE))
-    _, deleting = given_up(net)
+    net = three_servers(RequestClass(200 * MS, DEADLINE, SAFE))
+    _, deleting = job_not_started_in_time(net)
     deleting.answer("503")
     advance(net, 5 * MS)
     assert net.counters.get("attempts") == 1
-    up_and_written(net).answer("404")
+    connect_and_write(net).answer("404")
     assert net.counters.get("attempts") == 2, "it has no such job"
 
 
 def test_a_job_may_run_after_a_reset_and_is_given_up_before_the_repeat() -> None:
-    net = three(RequestClass(200 * MS, DEADLINE, SAFE))
+    net = three_servers(RequestClass(200 * MS, DEADLINE, SAFE))
     net.ask("a", 0, DEADLINE)
-    up_and_written(net).lose()
+    connect_and_write(net).lose()
     assert net.counters.get("attempts") == 1
     confirm_delete(net)
     assert net.counters.get("attempts") == 2
 
 
 def test_a_server_that_cannot_be_reached_after_a_reset_does_not_confirm_a_delete() -> None:
-    net = three(RequestClass(200 * MS, DEADLINE, SAFE))
+    net = three_servers(RequestClass(200 * MS, DEADLINE, SAFE))
     client = net.ask("a", 0, DEADLINE)
-    up_and_written(net).lose()
+    connect_and_write(net).lose()
     for _ in range(6):
         for other in net.live():
             other.fail()
@@ -363,114 +365,119 @@
 
 
 @pytest.mark.parametrize("effect", [SAFE, UNSAFE])
-def test_a_job_that_left_whole_is_not_unsent_though_nobody_was_told(effect: str) -> None:
-    net = three(RequestClass(200 * MS, DEADLINE, effect))
+def test_a_job_whose_last_byte_left_unnoticed_is_not_unsent(effect: str) -> None:
+    net = three_servers(RequestClass(200 * MS, DEADLINE, effect))
     client = net.ask("a", 0, DEADLINE)
     wire = net.live()[-1]
     wire.up()
-    wire.producer = None  # what was to tell of the last byte has failed
+    wire.producer = None  # the notification of the last byte is lost
     wire.flush()
     wire.lose()
     assert net.counters.get("attempts") == 1 and client.answers == (["failed"] if effect == UNSAFE else [])
 
 
-def test_a_reset_of_what_must_not_run_twice_is_answered_at_once() -> None:
-    net = three(RequestClass(200 * MS, DEADLINE, UNSAFE))
+def test_a_reset_of_an_unsafe_request_is_answered_at_once() -> None:
+    net = three_servers(RequestClass(200 * MS, DEADLINE, UNSAFE))
     client = net.ask("a", 0, DEADLINE)
-    up_and_written(net).lose()
+    connect_and_write(net).lose()
     assert client.answers == ["failed"] and len(net.wires) == 1
 
 
 @pytest.mark.parametrize("spec", [keyed(600 * MS), RequestClass(200 * MS, DEADLINE, SAFE)])
-def test_a_node_that_was_held_up_sends_nothing_late(spec: RequestClass) -> None:
-    # Its sockets come before its timers: a connection came up, and the job left after its window or deadline.
-    net = three(spec, connect_timeout=250 * MS, tells_start=False)
+def test_a_stalled_node_sends_nothing_late(spec: RequestClass) -> None:
+    # After a stall the reactor handles sockets before timers: a connection comes up, and the job used to
+    # leave after its window or deadline.
+    net = three_servers(spec, connect_timeout=250 * MS, tells_start=False)
     net.ask("a", 0, DEADLINE if spec.effect == KEYED else 200 * MS)
     if spec.effect == KEYED:
-        up_and_written(net).lose()
+        connect_and_write(net).lose()
         confirm_delete(net)
     late = net.live()[-1]
-    net.clock.rightNow += 0.6  # nothing runs meanwhile
+    net.clock.rightNow += 0.6  # the node is stalled
     late.up()
     late.flush()
     assert not late.message
 
 
-# The search.
+# Property test over orders of events.
 
 
-class Sent:
-    """One message whose last byte has left, as the oracle sees it."""
+class SentAttempt:
+    """An attempt whose last byte has left, as the oracle sees it."""
 
     def __init__(self, name: str, zone: int, begun: int, wire: Wire) -> None:
         self.name, self.zone, self.begun, self.wire = name, zone, begun, wire
-        self.started = self.proven = self.over = self.accepted = False
+        self.started = self.never_ran = self.ended = self.accepted = False
 
 
-class Watched(Net):
-    """Keeps the truth and checks the rule at each last byte."""
+class CheckedNet(Net):
+    """Tracks each attempt's true state and checks the repeat rule whenever a last byte leaves."""
 
     def __init__(self, spec: RequestClass, cancel: bool) -> None:
-        super().__init__(told(spec, may_cancel=cancel))
+        super().__init__(make_settings(spec, may_cancel=cancel))
         self.spec, self.sent, self.zones = spec, {}, dict[str, int]()  # type: ignore[var-annotated]
-        self.silent: set[Wire] = set()  # a 202 was lost there: nothing more comes
+        self.silent: set[Wire] = set()  # connections on which a 202 was lost: no further answer arrives
 
     def heard(self, wire: Wire) -> None:
         if not (job := job_of(wire)):
             return
         earlier, name = self.sent.setdefault(job, []), f"s-{wire.at[1]}"
-        mine = Sent(name, self.zones[name], wire.begun, wire)
-        for one in earlier:
-            assert one.over, f"{job} is out twice"
-            if not one.proven:
-                assert self.spec.effect != UNSAFE, f"{job} may have run"
+        new = SentAttempt(name, self.zones[name], wire.begun, wire)
+        for attempt in earlier:
+            assert attempt.ended, f"{job} was sent while another attempt may run"
+            if not attempt.never_ran:
+                assert self.spec.effect != UNSAFE, f"{job} was repeated and may have run"
                 if self.spec.effect == KEYED:
-                    assert self.spec.group == "all" or one.zone == mine.zone, f"{job} left its group"
-                    assert self.now <= one.begun + self.spec.window, f"{job} left its window"
-        earlier.append(mine)
+                    assert self.spec.group == "all" or attempt.zone == new.zone, (
+                        f"{job} was repeated outside its group"
+                    )
+                    assert self.now <= attempt.begun + self.spec.window, (
+                        f"{job} was repeated after its window"
+                    )
+        earlier.append(new)
 
     def closed(self, wire: Wire) -> None:
-        for one in (s for sent in self.sent.values() for s in sent if s.wire is wire and not s.accepted):
-            one.over = True
+        for attempt in (s for sent in self.sent.values() for s in sent if s.wire is wire and not s.accepted):
+            attempt.ended = True
 
-    def loses_acceptance(self, wire: Wire) -> None:
-        """The real server takes the job, and its 202 never arrives."""
+    def lose_acceptance(self, wire: Wire) -> None:
+        """The real server accepts the job, and its 202 is lost."""
         if job_of(wire) and not wire.over:
             self.silent.add(wire)
             self.sent[job_of(wire)][-1].accepted = True
 
-    def broken(self, wire: Wire) -> None:
-        """The connection breaks: by the protocol that ends what has no 202."""
-        for one in (s for sent in self.sent.values() for s in sent if s.wire is wire):
-            one.over |= wire in self.silent
+    def break_connection(self, wire: Wire) -> None:
+        """Breaks the connection; by the protocol this ends an attempt whose 202 has not arrived."""
+        for attempt in (s for sent in self.sent.values() for s in sent if s.wire is wire):
+            attempt.ended |= wire in self.silent
         wire.lose()
 
     def may_refuse(self, job: str) -> bool:
         return (
             self.spec.effect == SAFE
             or (self.spec.effect == KEYED and self.spec.group == "all")
-            or all(one.proven for one in self.sent.get(job, []))
+            or all(attempt.never_ran for attempt in self.sent.get(job, []))
         )
 
     def reply(self, wire: Wire, what: str) -> None:
-        """An answer of the real server, to a job or a DELETE."""
+        """Answers a job or a DELETE as the real server."""
         last = wire.message
-        for one in (s for sent in self.sent.values() for s in sent if s.wire is wire):
-            if job_of(wire) and self.sent[job_of(wire)][-1] is one:
-                one.accepted |= what == "202"
-                one.proven |= what == "turned away" and not one.over and not one.started
-                one.over |= what in ("turned away", "500")
+        for attempt in (s for sent in self.sent.values() for s in sent if s.wire is wire):
+            if job_of(wire) and self.sent[job_of(wire)][-1] is attempt:
+                attempt.accepted |= what == "202"
+                attempt.never_ran |= what == "turned away" and not attempt.ended and not attempt.started
+                attempt.ended |= what in ("turned away", "500")
         if last.startswith(b"DELETE"):
             job = last.split(b" ")[1].rpartition(b"/")[2].decode()
-            for one in self.sent.get(job, []):
-                one.over |= one.name == f"s-{wire.at[1]}"
+            for attempt in self.sent.get(job, []):
+                attempt.ended |= attempt.name == f"s-{wire.at[1]}"
         wire.answer(what)
 
-    def tells(self, job: str, name: str, state: str) -> None:
-        for one in (s for s in self.sent.get(job, []) if s.name == name):
-            one.proven |= state == "returned" and not one.started and not one.over
-            one.started |= state in ("started", "running", "done")
-            one.over |= state in ("returned", "done", "failed", "lost")
+    def report_state(self, job: str, name: str, state: str) -> None:
+        for attempt in (s for s in self.sent.get(job, []) if s.name == name):
+            attempt.never_ran |= state == "returned" and not attempt.started and not attempt.ended
+            attempt.started |= state in ("started", "running", "done")
+            attempt.ended |= state in ("returned", "done", "failed", "lost")
         self.call(job, name, state)
 
 
@@ -480,7 +487,7 @@
     st.sampled_from(["all", "zone"]),
     st.sampled_from([150 * MS, 700 * MS, 1500 * MS, 6 * SECOND]),
 )
-# What happens, and to which of the parties there are.
+# Events, each with a number that selects the connection, server or request.
 EVENTS = st.lists(
     st.tuples(
         st.sampled_from(
@@ -526,13 +533,13 @@
 )
 
 
-def happen(net: Watched, what: str, which: int, asked: dict[str, Any]) -> None:
+def apply_event(net: CheckedNet, what: str, which: int, asked: dict[str, Any]) -> None:
     live, job = net.live(), f"j{which % len(asked)}"
     wire = live[which % len(live)] if live else None
     attempts = net.sent.get(job, [])
     if what in ("wait", "long"):
         advance(net, (30 if what == "wait" else 400) * MS)
-    elif what == "go":  # all goes well for a while
+    elif what == "go":  # everything succeeds for a while
         for wire in live:
             if wire.protocol is None:
                 wire.up()
@@ -553,31 +560,31 @@
             asked[job] = (client, -1)
     elif what in ("started", "done", "failed", "returned", "lost"):
         if attempts:
-            net.tells(job, attempts[which % len(attempts)].name, what)
+            net.report_state(job, attempts[which % len(attempts)].name, what)
     elif wire is not None:
-        touch(net, wire, what)
+        apply_connection_event(net, wire, what)
 
 
-def touch(net: Watched, wire: Wire, what: str) -> None:
+def apply_connection_event(net: CheckedNet, wire: Wire, what: str) -> None:
     if wire.protocol is None:
         {"up": wire.up, "fail": wire.fail}.get(what, lambda: None)()
     elif what in ("flush", "part"):
         wire.flush(10 if what == "part" else 1 << 30)
     elif what == "lose":
-        net.broken(wire)
+        net.break_connection(wire)
     elif what == "202 lost":
         if wire.message and not wire.pending:
-            net.loses_acceptance(wire)
+            net.lose_acceptance(wire)
     elif wire not in net.silent and what not in ("up", "fail") and wire.message and not wire.pending:
         net.reply(wire, what)
 
 
 @settings(max_examples=400, deadline=None, derandomize=True)
 @given(SPECS, st.booleans(), EVENTS)
-def test_every_order_of_events_keeps_the_rule(
+def test_no_order_of_events_breaks_the_repeat_rule(
     spec: RequestClass, cancel: bool, events: list[tuple[str, int]]
 ) -> None:
-    net = Watched(spec, cancel)
+    net = CheckedNet(spec, cancel)
     net.zones = {f"s-{n}": n % 2 for n in range(1, 6)}
     net.listed(api.DISK, **{name: (api.ACTIVE, zone, int(name[2:])) for name, zone in net.zones.items()})
     asked: dict[str, Any] = {}
@@ -585,7 +592,7 @@
         client = net.ask(f"j{n}", 0, DEADLINE)
         asked[f"j{n}"] = client, net.requests._by_job.get(f"j{n}", -1)
     for what, which in events:
-        happen(net, what, which, asked)
+        apply_event(net, what, which, asked)
         for job, (client, _) in asked.items():
             if client.answers == ["turned down"]:
                 assert net.may_refuse(job), f"{job} may have run and was refused"
@@ -596,12 +603,12 @@
     assert not net.faults
 
 
-def test_a_delete_overtook_its_job_and_confirmed_that_nothing_ran() -> None:
-    # It went out on a kept connection while the real server had not accepted the job's own.
-    net = three(RequestClass(200 * MS, DEADLINE, SAFE))
+def test_a_delete_does_not_overtake_its_job() -> None:
+    # The DELETE used a kept connection while the server had not yet accepted the job's own connection.
+    net = three_servers(RequestClass(200 * MS, DEADLINE, SAFE))
     for number in range(6):
         net.ask(f"j{number}", 0, DEADLINE)
-        up_and_written(net)
+        connect_and_write(net)
     jobs = list(net.wires)
     accepted = {wire.at[1]: wire for wire in reversed(jobs)}  # the first at each real server
     for number, wire in accepted.items():
