--- a/tests/test_upgrade_life.py
+++ b/tests/test_upgrade_life.py
@@ -26,7 +26,7 @@
     Action.GIVE: (Event.STATE, Event.WHOLE),
     Action.SAY_GO: (Event.GO,),
 }
-DEAD = None
+DEAD = None  # the state of a process that has ended or was not started
 
 
 class World(NamedTuple):
@@ -35,9 +35,7 @@
     old: OldState | None = OldState.SERVING
     new: SuccessorState | None = None
     successor_started: bool = False
-    to_old: tuple[
-        Event, ...
-    ] = ()  # sent and not received; the last is LINK_CLOSED once the other end is closed
+    to_old: tuple[Event, ...] = ()  # sent, not received; ends with LINK_CLOSED once the other end is closed
     to_new: tuple[Event, ...] = ()
     old_open: bool = False  # the old process's end of the pair
     new_open: bool = False
--- a/violetsaddle/decide/upgrade.py
+++ b/violetsaddle/decide/upgrade.py
@@ -24,9 +24,7 @@
     STARTING = "starting"  # the successor's process was started
     GREETED = "greeted"  # the successor has said hello and was given the sockets and the state
     COMMITTED = "committed"  # `go` was sent: this process no longer accepts
-    RETAKING = (
-        "retaking"  # the successor failed after `go`, and its process must end before this one accepts again
-    )
+    RETAKING = "retaking"  # the successor failed after `go` and must end before this process accepts again
     DRAINING = "draining"  # the successor serves; open requests are finished
     STOPPING = "leaving"  # it was told to stop
     ENDED = "over"
--- a/violetsaddle/interface.py
+++ b/violetsaddle/interface.py
@@ -40,7 +40,7 @@
 DIFF = "diff"  # only the workers that changed
 SNAPSHOT = "snapshot"  # all workers
 DISK = "disk"  # all workers, from a stored list that may be out of date
-LIST_ERROR = "error"  # discovery could not be reached
+LIST_ERROR = "error"  # discovery gave no list
 
 
 class SettingsError(ValueError):
@@ -56,9 +56,9 @@
 
     worker: int  # the worker's id
     zone: int = 0  # index of its failure domain
-    cell: int = 0
+    cell: int = 0  # number of its cell, a group of workers inside a zone
     kind: int = 0  # index of its machine kind
-    weight: float = 1.0
+    weight: float = 1.0  # its share of the load relative to other workers
     started: int = 0  # time of its last start in microseconds; 0: long ago
     state: str = ACTIVE  # `ACTIVE`, `DRAINING` or `GONE`
 
@@ -111,14 +111,14 @@
     report_by_probe: bool = False  # whether a probe returns the report
     tells_start: bool = False  # whether workers tell when an attempt starts
     progress_every: int = 0  # interval between progress notes of a running attempt; 0: none are sent
-    may_probe: bool = False
-    may_tell: bool = False  # whether messages to other schedulers are allowed
-    may_cancel: bool = False
+    may_probe: bool = False  # whether `Actions.probe` is allowed
+    may_tell: bool = False  # whether `Actions.tell` is allowed
+    may_cancel: bool = False  # whether `Actions.cancel` is allowed
     second_copies: bool = False  # whether a request may have two attempts at a time
     may_advise: bool = False  # whether a refusal may have a retry-after
     most_advice: int = 1_000_000  # upper limit of a retry-after
     most_attempts: int = 3  # attempts per request
-    connect_timeout: int = 250_000
+    connect_timeout: int = 250_000  # for a connection to a worker
     keepalive: int = 10_000_000  # how long a worker keeps an idle connection open
     drain_grace: int = 1_000_000  # how long a draining worker still accepts attempts
     cold_from: float = 1.0  # part of its capacity that a worker has right after its start, above 0, at most 1
