--- a/violetsaddle/decide/replication_messages.py
+++ b/violetsaddle/decide/replication_messages.py
@@ -1,7 +1,9 @@
-"""What three replicas of the configuration say to each other, keep on disk, are told and ask of their driver.
+"""Types of the configuration's consensus protocol: messages, durable state, events and actions.
 
-All types are frozen and hashable. `Message` is a tagged union: `msgspec.json.encode` and a
-`msgspec.json.Decoder(Message)` carry it. The rules are in `violetsaddle/decide/replication.py`."""
+`Message` is what replicas send to each other, `Durable` what each keeps on disk, `Event` the input of
+`violetsaddle.decide.replication.step` and `Action` its output. All types are immutable and hashable.
+`Message` is a tagged union: encode it with `msgspec.json.encode` and decode it with
+`msgspec.json.Decoder(Message)`. The class names are the tags and the field names are the keys on the wire."""
 
 from __future__ import annotations
 
@@ -11,8 +13,10 @@
 
 
 class Version(Struct, frozen=True):
-    """A configuration under its number (from 1); `time_ms` is the wall clock where it was pushed, Unix
-    milliseconds, for people only. Two versions are the same content if digest and author are the same."""
+    """One configuration document with its version number, which starts at 1.
+
+    time_ms: wall-clock time of the write in Unix milliseconds, for display only.
+    Two versions have the same content if their digest and author are equal."""
 
     number: int
     digest: str
@@ -22,7 +26,7 @@
 
 
 class Ballot(Struct, frozen=True, order=True):
-    """Of one attempt of one replica; totally ordered, and never used twice."""
+    """Ballot number of one attempt by one replica. Ballots are totally ordered and never reused."""
 
     counter: int
     replica: str
@@ -33,15 +37,18 @@
 
 
 class Vote(Struct, frozen=True):
-    """The version that a replica accepted, and in which ballot."""
+    """A version that a replica accepted, with the ballot in which it did."""
 
     ballot: Ballot
     version: Version
 
 
 class Peer(Struct, frozen=True):
-    """What a replica knows of another: its latest incarnation, the highest sequence seen in all
-    incarnations before that one, and the highest ever seen."""
+    """What a replica knows about another one.
+
+    incarnation: the peer's latest known incarnation.
+    before: the highest sequence seen in all earlier incarnations.
+    sequence: the highest sequence seen in any incarnation."""
 
     name: str
     incarnation: int = 0
@@ -50,14 +57,16 @@
 
 
 class Durable(Struct, frozen=True):
-    """What a replica keeps on disk, besides the history of its versions.
+    """What a replica keeps on disk, besides the history of committed versions.
 
-    committed: the newest; the driver puts it into the history in the transaction that writes this.
-    promised: no vote for a ballot below it. accepted: for number committed + 1.
-    incarnation: of the latest start, (count of starts << 32) + random number of the start.
-    sequence: the number of votes ever made durable. A start does not raise it, so that a copy of an older
-    disk is still recognised at its second start.
-    whole: false from the start of an empty or outdated disk until its recovery is complete."""
+    committed: the newest committed version. The driver adds it to the history in the same transaction.
+    promised: the replica votes for no ballot below this one.
+    accepted: the vote for number committed + 1, if there is one.
+    incarnation: identifies the latest start: (number of starts << 32) + a random number.
+    sequence: number of votes ever written to disk. A start does not increase it, so that a replica that was
+    started with an older copy of its disk is still detected at its second start.
+    whole: false from a start with an empty or outdated disk until recovery is complete.
+    peers: what is known about the other replicas."""
 
     committed: Version | None = None
     promised: Ballot = NO_BALLOT
@@ -69,28 +78,28 @@
 
     @property
     def number(self) -> int:
-        """Of the newest committed version; 0 if there is none."""
+        """Number of the newest committed version; 0 if there is none."""
         return self.committed.number if self.committed is not None else 0
 
     @property
     def digest(self) -> str:
-        """Of the newest committed version; empty if there is none."""
+        """Digest of the newest committed version; empty if there is none."""
         return self.committed.digest if self.committed is not None else ""
 
 
 class Status(Enum):
-    """STARTING and RECOVERING replicas do not vote or propose; all serve what is committed."""
+    """Status of a replica. Only a VOTING one votes and proposes; all of them serve committed versions."""
 
     STARTING = "starting"
     RECOVERING = "recovering"
     VOTING = "voting"
 
 
-# Messages. `incarnation` and `sequence` are the sender's when it sent it.
+# Messages. `incarnation` and `sequence` are the sender's at the time of sending.
 
 
 class Prepare(Struct, frozen=True, tag=True):
-    """Asks to promise a ballot for a number."""
+    """Phase 1 request: promise this ballot for this version number."""
 
     incarnation: int
     sequence: int
@@ -99,7 +108,9 @@
 
 
 class Promise(Struct, frozen=True, tag=True):
-    """To vote in no lower ballot, with the vote given so far for this number."""
+    """Phase 1 response: the sender votes in no lower ballot.
+
+    accepted: the sender's earlier vote for this version number, if there is one."""
 
     incarnation: int
     sequence: int
@@ -109,7 +120,7 @@
 
 
 class Accept(Struct, frozen=True, tag=True):
-    """Asks to accept the version in this ballot."""
+    """Phase 2 request: accept the version in this ballot."""
 
     incarnation: int
     sequence: int
@@ -118,7 +129,7 @@
 
 
 class AcceptedVote(Struct, frozen=True, tag=True):
-    """The version of that ballot is accepted, on disk."""
+    """Phase 2 response: the sender has accepted the ballot's version and written it to disk."""
 
     incarnation: int
     sequence: int
@@ -127,7 +138,7 @@
 
 
 class Nack(Struct, frozen=True, tag=True):
-    """The ballot is below `promised`."""
+    """Rejects a Prepare or Accept: the sender has promised a higher ballot, `promised`."""
 
     incarnation: int
     sequence: int
@@ -136,22 +147,27 @@
 
 
 class Commit(Struct, frozen=True, tag=True):
-    """A majority has accepted it."""
+    """Announces that a majority has accepted the version."""
 
     version: Version
 
 
 class Hello(Struct, frozen=True, tag=True):
-    """Of a start; repeated until answered."""
+    """Announces a start of the sender. It is repeated until the peer answers."""
 
     incarnation: int
     sequence: int
 
 
 class HelloReply(Struct, frozen=True, tag=True):
-    """`to`: the incarnation in the Hello. `known`, `before`: the latest incarnation of the asker that the
-    sender knows, and the highest sequence that it saw in those before it. `fresh`: the sender's operator
-    said that this is the first start of all; `whole` as in `Durable`. The rest is the sender's disk."""
+    """Answers a Hello.
+
+    to: the incarnation in the Hello.
+    known: the latest incarnation of the receiver that the sender knows.
+    before: the highest sequence that the sender saw in the receiver's earlier incarnations.
+    incarnation, sequence, whole, number, promised, accepted: from the sender's disk, see `Durable`.
+    status: of the sender.
+    fresh: the sender's operator declared this the first start of all replicas."""
 
     to: int
     known: int
@@ -167,20 +183,22 @@
 
 
 class Fetch(Struct, frozen=True, tag=True):
-    """Asks for the committed version of that number."""
+    """Requests the committed version with this number."""
 
     number: int
 
 
 class Fetched(Struct, frozen=True, tag=True):
-    """A committed version; `newest` is the number of the sender's newest."""
+    """Answers a Fetch with a committed version.
+
+    newest: the number of the sender's newest committed version."""
 
     version: Version
     newest: int
 
 
 class Heartbeat(Struct, frozen=True, tag=True):
-    """Number and digest of the newest committed version; 0 and empty if there is none."""
+    """Periodic message with the newest committed version's number and digest; 0 and "" if there is none."""
 
     incarnation: int
     sequence: int
@@ -207,35 +225,41 @@
 
 
 class Accepted(Struct, frozen=True, tag=True):
-    """Committed under that number."""
+    """The version is committed under this number."""
 
     number: int
     digest: str
 
 
 class Conflict(Struct, frozen=True, tag=True):
-    """Not accepted, and never will be: the newest committed version is this one, not the base."""
+    """The proposal lost and will never be committed: this is the newest committed version, not the base."""
 
     number: int
     digest: str
 
 
 class NoMajority(Struct, frozen=True, tag=True):
-    """Not accepted, and never will be: no majority of replicas answered before it was told to any."""
+    """The proposal failed and will never be committed.
+
+    No majority answered, and no replica had been asked to accept the version."""
 
 
 class Undecided(Struct, frozen=True, tag=True):
-    """May have taken effect, or still take it: a replica was asked to accept it and no majority answered."""
+    """The outcome is unknown: the version may be committed already, or may still be committed later.
+
+    A replica was asked to accept it, and no majority answered."""
 
 
 class Joining(Struct, frozen=True, tag=True):
-    """Not accepted: the replica is not voting (yet)."""
+    """The proposal was rejected because this replica does not vote yet."""
 
     status: Status
 
 
 class Behind(Struct, frozen=True, tag=True):
-    """Not accepted: the base is newer than this replica's newest committed version."""
+    """The proposal was rejected because its base is newer than this replica's newest committed version.
+
+    number: of that committed version; 0 if there is none."""
 
     number: int
 
@@ -251,7 +275,9 @@
 
 
 class Propose(Struct, frozen=True, tag=True):
-    """Commit the document under base + 1 if base is the newest; `token` names the request in `Reply`."""
+    """A client's request to commit the document as version base + 1, if base is the newest version.
+
+    token: identifies the request in `Reply`."""
 
     token: int
     base: int
@@ -262,18 +288,18 @@
 
 
 class Received(Struct, frozen=True, tag=True):
-    """A message from a peer; others' are passed over."""
+    """A message from another replica. It is ignored if the sender is not a peer."""
 
     sender: str
     message: Message
 
 
 class Tick(Struct, frozen=True, tag=True):
-    """Every second or so: heartbeats, Hello again, finishing of what was accepted and not committed."""
+    """Periodic event, about once a second: sends heartbeats, repeats Hello, finishes uncommitted votes."""
 
 
 class RoundTimeout(Struct, frozen=True, tag=True):
-    """The timer of `StartTimer` is over."""
+    """The timer that `StartTimer` with the same `round` started has expired."""
 
     round: int
 
@@ -281,32 +307,36 @@
 Event = Started | Propose | Received | Tick | RoundTimeout
 
 
-# Actions, in the order in which the driver is to do them.
+# Actions. The driver performs them in the order in which a step returns them.
 
 
 class Persist(Struct, frozen=True, tag=True):
-    """First of a step's actions. The driver writes it durably, and `durable.committed` into the history in
-    the same transaction (a step commits one version at most). If that fails it keeps the state from before
-    the step and does none of the step's other actions: to its peers the event was lost."""
+    """Write the state to disk. If a step has this action, it is the first one.
+
+    The driver adds `durable.committed` to the history in the same transaction; a step commits at most one
+    version. If the write fails, the driver keeps the state from before the step and performs none of its
+    other actions. To the peers this looks as if the event had been lost."""
 
     durable: Durable
 
 
 class Committed(Struct, frozen=True, tag=True):
-    """The newest committed version is this one, by the `Persist` before in the history. Wake watches."""
+    """This is the new newest committed version. The step's `Persist` has added it to the history.
+
+    The driver notifies the requests that wait for a new version."""
 
     version: Version
 
 
 class Send(Struct, frozen=True, tag=True):
-    """Send a message; it may be lost, doubled or late."""
+    """Send a message to a peer. It may be lost, duplicated or delayed."""
 
     to: str
     message: Message
 
 
 class SendVersion(Struct, frozen=True, tag=True):
-    """Send `Fetched(version, newest)` with the version of that number from the history."""
+    """Send `Fetched(version, newest)` to a peer, with the version of this number from the history."""
 
     to: str
     number: int
@@ -314,15 +344,18 @@
 
 
 class Reply(Struct, frozen=True, tag=True):
-    """The answer to `Propose(token)`; at most one each."""
+    """The result of the proposal with this token. There is at most one for each proposal."""
 
     token: int
     result: Result
 
 
 class StartTimer(Struct, frozen=True, tag=True):
-    """Give `RoundTimeout(round)` later: if `backoff`, after a random wait that doubles with `attempt` (from
-    1), so that two proposers do not meet again, else after the time allowed for a majority to answer."""
+    """Start a timer that ends with `RoundTimeout(round)`.
+
+    attempt: counts the ballots of a proposal, from 1.
+    backoff: if true, the delay is random and its range doubles with each attempt, so that two competing
+    proposers do not collide again. If false, the delay is the time allowed for a majority to answer."""
 
     round: int
     attempt: int
