--- a/violetsaddle/decide/replication.py
+++ b/violetsaddle/decide/replication.py
@@ -51,7 +51,7 @@
     Vote,
 )
 from violetsaddle.decide.replication_state import (
-    STARTS,
+    NONCE_BITS,
     Phase,
     Proposal,
     ReplicaState,
@@ -220,7 +220,7 @@
         of an older one. Not written by itself: each vote given or counted is written with what is known then
         of the peer that it has to do with."""
         peer = self.peer(sender)
-        if incarnation != peer.incarnation and incarnation >> STARTS <= peer.incarnation >> STARTS:
+        if incarnation != peer.incarnation and incarnation >> NONCE_BITS <= peer.incarnation >> NONCE_BITS:
             return False
         now = Peer(sender, incarnation, peer.before, max(peer.sequence, sequence))
         if incarnation != peer.incarnation:
