--- a/tests/search_replication.py
+++ b/tests/search_replication.py
@@ -1,8 +1,9 @@
-"""Every order of events of three replicas within a bound: `python -m tests.search_replication --help`.
+"""Model checker for the replication protocol: explores every order of events within given bounds.
 
-The network is the set of all messages ever sent: any of them may be delivered at any time, so that loss,
-repetition and reordering are covered. A replica may stop at any time and start with its disk, without it
-or with an older copy. The oracle sees messages, disks and answers, not what the replicas think."""
+Run `python -m tests.search_replication --help` for the options. The network is the set of all messages ever
+sent. Any of them may be delivered at any time, which covers loss, duplication and reordering. A replica may
+stop at any time and start with its disk, with an empty disk or with an older copy of its disk. The oracle
+checks messages, disks and replies, and does not look at the replicas' internal state except their status."""
 
 from __future__ import annotations
 
@@ -22,50 +23,66 @@
 
 
 class Write(NamedTuple):
-    """One proposal: at which replica, on which base, of which document."""
+    """One proposal: the index of its replica, the base version and the document."""
 
-    at: int
+    replica: int
     base: int
     document: str
 
 
 class Scope(NamedTuple):
-    """Bounds of a search. ballots: of all replicas together. restarts: with the disk kept; lost: with an
-    empty disk; back: with a copy made at any time before. patient: a start waits for all peers, else for one.
-    only: the replicas that may stop. mute: kinds of message that the network
-    always loses, besides heartbeats. new: a lost disk is started as if for the first time.
-    oldest: the copy is of the first disk."""
+    """Bounds of a search.
+
+    ballots: ballots started by all replicas together.
+    restarts: restarts with the disk kept.
+    disk_losses: restarts with an empty disk.
+    disk_rollbacks: restarts with a copy of the disk made at any earlier time.
+    wait_for_all_peers: a start waits for answers from all peers; if false, one answer is enough.
+    may_stop: indexes of the replicas that may stop.
+    dropped_kinds: kinds of message that the network always loses, besides heartbeats.
+    first_start: a replica with a lost disk starts with the option for a first start.
+    oldest_copy: the copy is always that of the first disk."""
 
     writes: tuple[Write, ...] = (Write(0, 0, "a"), Write(1, 0, "b"))
     ballots: int = 2
     restarts: int = 0
-    lost: int = 0
-    back: int = 0
-    patient: bool = True
-    only: tuple[int, ...] = (0, 1, 2)
-    mute: tuple[str, ...] = ()
-    new: bool = False
-    oldest: bool = False
+    disk_losses: int = 0
+    disk_rollbacks: int = 0
+    wait_for_all_peers: bool = True
+    may_stop: tuple[int, ...] = (0, 1, 2)
+    dropped_kinds: tuple[str, ...] = ()
+    first_start: bool = False
+    oldest_copy: bool = False
 
 
-class World(NamedTuple):
-    """Indexes of interned states and disks; `sent` has a bit for each message ever sent."""
+class SystemState(NamedTuple):
+    """One state of the whole system.
+
+    states, disks, copies: for each replica, the index of its interned state, disk and copy of the disk.
+    sent: a bit for each message that was sent and can still have an effect.
+    oracle: index of the interned `OracleState`.
+    written: a bit for each write of the scope that was proposed.
+    ballots, restarts, disk_losses, disk_rollbacks: how many more may happen, as in `Scope`."""
 
     states: tuple[int, int, int]
     disks: tuple[int, int, int]
     copies: tuple[int, int, int]
     sent: int
-    ghost: int
+    oracle: int
     written: int
     ballots: int
     restarts: int
-    lost: int
-    back: int
+    disk_losses: int
+    disk_rollbacks: int
+
 
+class OracleState(NamedTuple):
+    """The history that the oracle needs for its checks.
 
-class Ghost(NamedTuple):
-    """What must hold for ever: the content chosen under each number, the tokens accepted and refused.
-    highest: the highest ballot in which each replica ever voted. votes: who accepted what in which ballot."""
+    chosen: the content that a majority accepted, for each version number.
+    highest: the highest ballot in which each replica ever voted.
+    votes: ballot, version number, content and the replicas that accepted it.
+    accepted, refused: tokens of the proposals with these results."""
 
     chosen: tuple[tuple[int, str], ...] = ()
     highest: tuple[m.Ballot, m.Ballot, m.Ballot] = (m.NO_BALLOT, m.NO_BALLOT, m.NO_BALLOT)
@@ -75,27 +92,37 @@
 
 
 class Effect(NamedTuple):
-    """Of one step: the next state, the disk after it (-1: as it was), what it sent and said."""
+    """The result of one step of a replica.
+
+    state: index of the next state.
+    disk: index of the disk after the step; -1 if the step did not write.
+    sent: a bit for each message sent.
+    starts_ballot: whether the step started a ballot.
+    outputs: versions committed and replies to clients.
+    votes: the messages that carry a vote.
+    sent_before_write: a bit for each message sent before the disk was written."""
 
     state: int
     disk: int
     sent: int
-    begins: bool
-    said: tuple[m.Committed | m.Reply, ...]
+    starts_ballot: bool
+    outputs: tuple[m.Committed | m.Reply, ...]
     votes: tuple[Any, ...]
-    early: int
+    sent_before_write: int
 
 
-class BrokenError(Exception):
-    """A rule does not hold; the text is the rule and the events that lead to it."""
+class InvariantError(Exception):
+    """A rule of the protocol is violated. The text has the rule and the events that led to the violation."""
 
 
-class Interned:
+class InternTable:
+    """Gives equal items the same index."""
+
     def __init__(self) -> None:
         self.items: list[Any] = []
         self.index: dict[Any, int] = {}
 
-    def put(self, item: Any) -> int:
+    def intern(self, item: Any) -> int:
         found = self.index.get(item)
         if found is None:
             found = self.index[item] = len(self.items)
@@ -104,120 +131,135 @@
 
 
 class Sent(NamedTuple):
+    """A message with the indexes of its sender and its receiver."""
+
     sender: int
     to: int
     message: Any
 
 
-def vote_of(message: Any) -> m.Ballot | None:
-    """A proposer votes for itself with what it asks."""
+def ballot_of(message: Any) -> m.Ballot | None:
+    """The ballot of a vote. A proposer's requests count as its own votes."""
     if isinstance(message, m.Prepare | m.Promise | m.Accept | m.AcceptedVote):
         return message.ballot
     return None
 
 
 class Search:
+    """Explores all system states that are reachable within a scope."""
+
     def __init__(self, scope: Scope) -> None:
         self.scope = scope
-        self.states, self.disks, self.messages, self.ghosts = (Interned() for _ in range(4))
+        self.states, self.disks, self.messages, self.oracle_states = (InternTable() for _ in range(4))
         self.effects: dict[tuple[int, Any], Effect] = {}
-        self.parents: dict[World, tuple[World | None, Any]] = {}
-        self.rules = Rules(patience=10**9 if scope.patient else 0, finish=1, tries=scope.ballots + 1)
+        self.parents: dict[SystemState, tuple[SystemState | None, Any]] = {}
+        self.rules = Rules(
+            patience=10**9 if scope.wait_for_all_peers else 0, finish=1, tries=scope.ballots + 1
+        )
         self.starts = 0
-        self.mute = tuple(getattr(m, kind) for kind in ("Heartbeat", *scope.mute))
-        self.kinds, self.keys = [0, 0, 0], dict[Any, int]()
-        self.judged: dict[Any, int] = {}
+        self.dropped_kinds = tuple(getattr(m, kind) for kind in ("Heartbeat", *scope.dropped_kinds))
+        self.prunable, self.messages_by_key = [0, 0, 0], dict[Any, int]()
+        self.checked: dict[Any, int] = {}
 
-    # The replicas.
+    # Replicas.
 
-    def start(self, replica: int, disk: m.Durable | None, new: bool = False) -> ReplicaState:
+    def create_replica(self, replica: int, disk: m.Durable | None, first_start: bool = False) -> ReplicaState:
         name = NAMES[replica]
         peers = tuple(peer for peer in NAMES if peer != name)
-        # Smaller for later starts: an incarnation of a copy is then below that of the later disk.
+        # Decreasing, so that the incarnation after a rollback is below the one that was rolled back.
         nonce = 100 - self.starts
-        return new_replica(name, peers, disk, nonce, new, self.rules)
+        return new_replica(name, peers, disk, nonce, first_start, self.rules)
 
-    def first(self) -> World:
-        """The replicas after their first start, when all they said has been delivered."""
-        states = [self.start(i, None, True) for i in range(3)]
+    def initial_system(self) -> SystemState:
+        """The system after the first start of all replicas, with all their messages delivered."""
+        states = [self.create_replica(i, None, True) for i in range(3)]
         disks: list[m.Durable] = [m.Durable()] * 3
-        todo: list[tuple[int, m.Event]] = [(i, m.Started()) for i in range(3)]
-        while todo:
-            i, event = todo.pop(0)
+        pending: list[tuple[int, m.Event]] = [(i, m.Started()) for i in range(3)]
+        while pending:
+            i, event = pending.pop(0)
             states[i], actions = step(states[i], event)
             for action in actions:
                 if isinstance(action, m.Persist):
                     disks[i] = action.durable
                 if isinstance(action, m.Send):
-                    todo.append((NAMES.index(action.to), m.Received(NAMES[i], action.message)))
+                    pending.append((NAMES.index(action.to), m.Received(NAMES[i], action.message)))
         assert all(state.status is m.Status.VOTING for state in states)
-        s = [self.states.put(self.plain(state)) for state in states]
-        d = [self.disks.put(self.plain(disk)) for disk in disks]
+        state_ids = [self.states.intern(self.normalize(state)) for state in states]
+        disk_ids = [self.disks.intern(self.normalize(disk)) for disk in disks]
         scope = self.scope
-        return World(
-            (s[0], s[1], s[2]),
-            (d[0], d[1], d[2]),
-            (d[0], d[1], d[2]),
+        return SystemState(
+            (state_ids[0], state_ids[1], state_ids[2]),
+            (disk_ids[0], disk_ids[1], disk_ids[2]),
+            (disk_ids[0], disk_ids[1], disk_ids[2]),
             0,
-            self.ghosts.put(Ghost()),
+            self.oracle_states.intern(OracleState()),
             0,
             scope.ballots,
             scope.restarts,
-            scope.lost,
-            scope.back,
+            scope.disk_losses,
+            scope.disk_rollbacks,
         )
 
-    def effect(self, replica: int, state: int, key: Any, event: m.Event | None) -> Effect:
-        """Of an event; None is as many ticks as it takes to finish a version that was accepted."""
+    def cached_effect(self, replica: int, state: int, key: Any, event: m.Event | None) -> Effect:
+        """The effect of an event. None stands for the ticks until an accepted version is proposed again."""
         found = self.effects.get((state, key))
         if found is None:
             before: ReplicaState = self.states.items[state]
             if event is not None:
                 after, actions = step(before, event)
             else:
-                after, actions = self.finish(before)
-            found = self.effects[(state, key)] = self.digest(replica, replace(after, ticks=0), actions)
+                after, actions = self.finish_accepted(before)
+            found = self.effects[(state, key)] = self.summarize(replica, replace(after, ticks=0), actions)
         return found
 
-    def finish(self, state: ReplicaState) -> tuple[ReplicaState, tuple[m.Action, ...]]:
+    def finish_accepted(self, state: ReplicaState) -> tuple[ReplicaState, tuple[m.Action, ...]]:
+        """Ticks until the replica starts a ballot for its accepted version; returns that step's actions."""
         for _ in range(5):
             state, actions = step(state, m.Tick())
-            begun = [a for a in actions if isinstance(a, m.Send) and isinstance(a.message, m.Prepare)]
-            if begun:
-                write = [a for a in actions if isinstance(a, m.Persist)]
-                return state, (*write, *begun)
-        raise AssertionError("not finished")
-
-    def digest(self, replica: int, after: ReplicaState, actions: tuple[m.Action, ...]) -> Effect:
-        disk, sent, early, begins = -1, 0, 0, False
-        said: list[m.Committed | m.Reply] = []
+            prepares = [a for a in actions if isinstance(a, m.Send) and isinstance(a.message, m.Prepare)]
+            if prepares:
+                persist = [a for a in actions if isinstance(a, m.Persist)]
+                return state, (*persist, *prepares)
+        raise AssertionError("no ballot for the accepted version after five ticks")
+
+    def summarize(self, replica: int, after: ReplicaState, actions: tuple[m.Action, ...]) -> Effect:
+        disk, sent, sent_before_write, starts_ballot = -1, 0, 0, False
+        outputs: list[m.Committed | m.Reply] = []
         votes: list[Any] = []
         for action in actions:
             if isinstance(action, m.Persist):
-                disk, early = self.disks.put(self.plain(action.durable)), sent
+                disk, sent_before_write = self.disks.intern(self.normalize(action.durable)), sent
             elif isinstance(action, m.Send):
-                message = self.plain(action.message)
-                begins = begins or isinstance(message, m.Prepare)
-                if vote_of(message) is not None and message not in votes:
+                message = self.normalize(action.message)
+                starts_ballot = starts_ballot or isinstance(message, m.Prepare)
+                if ballot_of(message) is not None and message not in votes:
                     votes.append(message)
-                if not isinstance(message, self.mute):
-                    sent |= 1 << self.message(Sent(replica, NAMES.index(action.to), message))
+                if not isinstance(message, self.dropped_kinds):
+                    sent |= 1 << self.intern_message(Sent(replica, NAMES.index(action.to), message))
             elif isinstance(action, m.Committed | m.Reply):
-                said.append(action)
+                outputs.append(action)
         return Effect(
-            self.states.put(self.plain(after)), disk, sent, begins, tuple(said), tuple(votes), early
+            self.states.intern(self.normalize(after)),
+            disk,
+            sent,
+            starts_ballot,
+            tuple(outputs),
+            tuple(votes),
+            sent_before_write,
         )
 
-    def plain(self, item: Any) -> Any:
-        """Without what has no effect within the scope: the sequence, unless a disk is set back; how long a
-        replica waits; the answers to a start, once it votes."""
-        counted = bool(self.scope.back)
+    def normalize(self, item: Any) -> Any:
+        """Removes what has no effect within the scope, so that equivalent states are equal.
+
+        This is the number of ticks, the answers to a start once the replica votes, and the sequences unless
+        a disk may be rolled back."""
+        keep_sequences = bool(self.scope.disk_rollbacks)
         if isinstance(item, ReplicaState):
-            item = replace(item, ticks=0, durable=self.plain(item.durable))
-            if not counted:
+            item = replace(item, ticks=0, durable=self.normalize(item.durable))
+            if not keep_sequences:
                 item = replace(item, loaded=0)
             return replace(item, answers=()) if item.status is m.Status.VOTING else item
-        if counted:
+        if keep_sequences:
             return item
         if isinstance(item, m.Durable):
             peers = tuple(replace(peer, before=0, sequence=0) for peer in item.peers)
@@ -226,10 +268,10 @@
             return replace(item, sequence=0, before=0)
         return replace(item, sequence=0) if hasattr(item, "sequence") else item
 
-    def message(self, sent: Sent) -> int:
-        """Its number. Notes of which kind it is, for `live`."""
+    def intern_message(self, sent: Sent) -> int:
+        """The message's number. Indexes messages that can become inert, for `drop_inert_messages`."""
         known = len(self.messages.items)
-        number = self.messages.put(sent)
+        number = self.messages.intern(sent)
         if number == known:
             message = sent.message
             if isinstance(message, m.Promise | m.AcceptedVote | m.Nack):
@@ -242,62 +284,63 @@
                 key = (sent.to, message.version.number)
             else:
                 return number
-            self.kinds[sent.to if not isinstance(message, m.Hello) else sent.sender] |= 1 << number
-            self.keys[key] = self.keys.get(key, 0) | 1 << number
+            self.prunable[sent.to if not isinstance(message, m.Hello) else sent.sender] |= 1 << number
+            self.messages_by_key[key] = self.messages_by_key.get(key, 0) | 1 << number
         return number
 
-    def live(self, replica: int, state: int, sent: int) -> int:
-        """The messages without those that can't have an effect on this replica any more, nor on another one
-        by its answer: votes for a ballot that is over, answers to a start, what it has committed."""
-        kinds = sent & self.kinds[replica]
-        if not kinds:
+    def drop_inert_messages(self, replica: int, state: int, sent: int) -> int:
+        """Removes messages that can no longer have an effect on this replica, or on others by its answer.
+
+        These are votes for an ended ballot, answers to a completed start, and versions already committed."""
+        prunable = sent & self.prunable[replica]
+        if not prunable:
             return sent
-        now: ReplicaState = self.states.items[state]
-        keys, keep = self.keys, 0
-        if now.round is not None and now.round.phase is not Phase.WAIT:
-            kind = m.Promise if now.round.phase is Phase.PREPARE else m.AcceptedVote
-            keep |= keys.get((replica, kind, now.round.ballot), 0)
-            keep |= keys.get((replica, m.Nack, now.round.ballot), 0)
-        number = now.durable.number + 1
+        current: ReplicaState = self.states.items[state]
+        keys, keep = self.messages_by_key, 0
+        if current.round is not None and current.round.phase is not Phase.WAIT:
+            kind = m.Promise if current.round.phase is Phase.PREPARE else m.AcceptedVote
+            keep |= keys.get((replica, kind, current.round.ballot), 0)
+            keep |= keys.get((replica, m.Nack, current.round.ballot), 0)
+        number = current.durable.number + 1
         while (replica, number) in keys or number < 3:
             keep |= keys.get((replica, number), 0)
             number += 1
-        if now.status is not m.Status.VOTING:
-            incarnation, had = now.durable.incarnation, dict(now.answers)
+        if current.status is not m.Status.VOTING:
+            incarnation, answered = current.durable.incarnation, dict(current.answers)
             for peer in range(3):
-                if NAMES[peer] not in had:
+                if NAMES[peer] not in answered:
                     replies = keys.get((replica, peer, incarnation), 0)
-                    # One answer to each start: a second one is as the first, given later.
+                    # One answer to each Hello is enough: a second one equals the first one sent later.
                     keep |= replies if sent & replies else keys.get((replica, peer, -incarnation), 0)
-        return sent & ~kinds | kinds & keep
+        return sent & ~prunable | prunable & keep
 
-    # The world.
+    # Successor states.
 
-    def next(self, world: World) -> Iterator[tuple[World, Any]]:
-        yield from self.deliveries(world)
+    def successors(self, system: SystemState) -> Iterator[tuple[SystemState, Any]]:
+        yield from self.delivery_successors(system)
         scope = self.scope
         for i, write in enumerate(scope.writes):
-            if not world.written >> i & 1:
+            if not system.written >> i & 1:
                 event = m.Propose(i, write.base, write.document, f"w{i}", 0, write.document)
-                effect = self.effect(write.at, world.states[write.at], ("write", i), event)
-                after = world._replace(written=world.written | 1 << i)
-                yield from self.after(after, write.at, effect, f"write {write}")
+                effect = self.cached_effect(write.replica, system.states[write.replica], ("write", i), event)
+                after = system._replace(written=system.written | 1 << i)
+                yield from self.apply_effect(after, write.replica, effect, f"write {write}")
         for i in range(3):
-            state: ReplicaState = self.states.items[world.states[i]]
-            if state.round is not None and world.ballots:
+            state: ReplicaState = self.states.items[system.states[i]]
+            if state.round is not None and system.ballots:
                 number = state.round.ballot.counter
-                effect = self.effect(i, world.states[i], ("timeout", number), m.RoundTimeout(number))
-                yield from self.after(world, i, effect, f"timeout of {NAMES[i]}")
-            elif state.durable.accepted is not None and world.ballots and state.status is m.Status.VOTING:
-                yield from self.after(
-                    world, i, self.effect(i, world.states[i], "finish", None), f"finish {i}"
+                effect = self.cached_effect(i, system.states[i], ("timeout", number), m.RoundTimeout(number))
+                yield from self.apply_effect(system, i, effect, f"timeout of {NAMES[i]}")
+            elif state.durable.accepted is not None and system.ballots and state.status is m.Status.VOTING:
+                yield from self.apply_effect(
+                    system, i, self.cached_effect(i, system.states[i], "finish", None), f"finish {i}"
                 )
-        for i in scope.only:
-            yield from self.stops(world, i)
+        for i in scope.may_stop:
+            yield from self.stop_successors(system, i)
 
-    def deliveries(self, world: World) -> Iterator[tuple[World, Any]]:
-        items, effects, states = self.messages.items, self.effects, world.states
-        left = world.sent
+    def delivery_successors(self, system: SystemState) -> Iterator[tuple[SystemState, Any]]:
+        items, effects, states = self.messages.items, self.effects, system.states
+        left = system.sent
         while left:
             low = left & -left
             left ^= low
@@ -308,192 +351,219 @@
             effect = effects.get((state, bit))
             if effect is None:
                 event = m.Received(NAMES[sent.sender], sent.message)
-                effect = self.effect(to, state, bit, event)
-            if effect.state == state and not effect.sent & ~world.sent and not effect.votes:
+                effect = self.cached_effect(to, state, bit, event)
+            if effect.state == state and not effect.sent & ~system.sent and not effect.votes:
                 continue
-            yield from self.after(world, to, effect, bit)
-
-    def stops(self, world: World, i: int) -> Iterator[tuple[World, Any]]:
-        if world.restarts:
-            after = world._replace(restarts=world.restarts - 1)
-            yield self.started(after, i, world.disks[i], f"restart of {NAMES[i]}")
-        if world.lost:
-            after = world._replace(lost=world.lost - 1)
-            yield self.started(after, i, -1, f"{NAMES[i]} loses its disk")
-        if world.back:
-            if world.copies[i] != world.disks[i]:
-                if not self.scope.oldest:
-                    copies = _with(world.copies, i, world.disks[i])
-                    yield world._replace(copies=copies), f"copy of the disk of {NAMES[i]}"
-                after = world._replace(back=world.back - 1)
-                yield self.started(after, i, world.copies[i], f"{NAMES[i]} has an older disk")
-
-    def started(self, world: World, i: int, disk: int, label: str) -> tuple[World, Any]:
+            yield from self.apply_effect(system, to, effect, bit)
+
+    def stop_successors(self, system: SystemState, i: int) -> Iterator[tuple[SystemState, Any]]:
+        if system.restarts:
+            after = system._replace(restarts=system.restarts - 1)
+            yield self.restart_replica(after, i, system.disks[i], f"restart of {NAMES[i]}")
+        if system.disk_losses:
+            after = system._replace(disk_losses=system.disk_losses - 1)
+            yield self.restart_replica(after, i, -1, f"{NAMES[i]} loses its disk")
+        if system.disk_rollbacks:
+            if system.copies[i] != system.disks[i]:
+                if not self.scope.oldest_copy:
+                    copies = _replaced(system.copies, i, system.disks[i])
+                    yield system._replace(copies=copies), f"copy of the disk of {NAMES[i]}"
+                after = system._replace(disk_rollbacks=system.disk_rollbacks - 1)
+                yield self.restart_replica(after, i, system.copies[i], f"{NAMES[i]} has an older disk")
+
+    def restart_replica(self, system: SystemState, i: int, disk: int, label: str) -> tuple[SystemState, Any]:
         scope = self.scope
-        gone = scope.restarts + scope.lost + scope.back - world.restarts - world.lost - world.back
-        self.starts = gone
-        state = self.start(i, self.disks.items[disk] if disk >= 0 else None, scope.new and disk < 0)
+        stops_used = (
+            scope.restarts
+            + scope.disk_losses
+            + scope.disk_rollbacks
+            - system.restarts
+            - system.disk_losses
+            - system.disk_rollbacks
+        )
+        self.starts = stops_used
+        state = self.create_replica(
+            i, self.disks.items[disk] if disk >= 0 else None, scope.first_start and disk < 0
+        )
         if disk < 0:
-            world = world._replace(disks=_with(world.disks, i, self.disks.put(m.Durable())))
+            system = system._replace(disks=_replaced(system.disks, i, self.disks.intern(m.Durable())))
         else:
-            world = world._replace(disks=_with(world.disks, i, disk))
-        effect = self.effect(i, self.states.put(self.plain(state)), "start", m.Started())
-        (after, _), *_ = self.after(world, i, effect, label)
+            system = system._replace(disks=_replaced(system.disks, i, disk))
+        effect = self.cached_effect(i, self.states.intern(self.normalize(state)), "start", m.Started())
+        (after, _), *_ = self.apply_effect(system, i, effect, label)
         return after, label
 
-    def after(self, world: World, i: int, effect: Effect, label: Any) -> Iterator[tuple[World, Any]]:
-        """The world after a step of replica i, and after a stop between, where it sends before it writes."""
-        if effect.begins:
-            if not world.ballots:
+    def apply_effect(
+        self, system: SystemState, i: int, effect: Effect, label: Any
+    ) -> Iterator[tuple[SystemState, Any]]:
+        """The system after a step of replica i.
+
+        If the step sends before it writes, also the system after a stop between the two."""
+        if effect.starts_ballot:
+            if not system.ballots:
                 return
-            world = world._replace(ballots=world.ballots - 1)
-        if effect.early and world.restarts:
-            ghost = self.judge(world, i, effect._replace(said=()), label)
-            sent = world.sent | effect.early
-            stopped = world._replace(sent=sent, ghost=ghost, restarts=world.restarts - 1)
-            yield self.started(stopped, i, world.disks[i], f"{self.text(label)}, stopped before the write")
-        disks = world.disks
+            system = system._replace(ballots=system.ballots - 1)
+        if effect.sent_before_write and system.restarts:
+            oracle = self.check_effect(system, i, effect._replace(outputs=()), label)
+            sent = system.sent | effect.sent_before_write
+            stopped = system._replace(sent=sent, oracle=oracle, restarts=system.restarts - 1)
+            yield self.restart_replica(
+                stopped, i, system.disks[i], f"{self.describe(label)}, stopped before the write"
+            )
+        disks = system.disks
         if effect.disk >= 0:
-            before, now = self.disks.items[disks[i]], self.disks.items[effect.disk]
-            self.expect(now.number >= before.number, "a committed number fell", world, label)
-            disks = _with(disks, i, effect.disk)
-        ghost = self.judge(world, i, effect, label) if effect.votes or effect.said else world.ghost
-        states = _with(world.states, i, effect.state)
-        sent = world.sent | effect.sent
+            before, written = self.disks.items[disks[i]], self.disks.items[effect.disk]
+            self.require(written.number >= before.number, "a committed number fell", system, label)
+            disks = _replaced(disks, i, effect.disk)
+        oracle = (
+            self.check_effect(system, i, effect, label) if effect.votes or effect.outputs else system.oracle
+        )
+        states = _replaced(system.states, i, effect.state)
+        sent = system.sent | effect.sent
         for replica, state in enumerate(states):
-            sent = self.live(replica, state, sent)
-        yield world._replace(states=states, disks=disks, sent=sent, ghost=ghost), label
+            sent = self.drop_inert_messages(replica, state, sent)
+        yield system._replace(states=states, disks=disks, sent=sent, oracle=oracle), label
 
     # The oracle.
 
-    def judge(self, world: World, i: int, effect: Effect, label: Any) -> int:
-        key = (world.ghost, i, effect)
-        found = self.judged.get(key)
+    def check_effect(self, system: SystemState, i: int, effect: Effect, label: Any) -> int:
+        key = (system.oracle, i, effect)
+        found = self.checked.get(key)
         if found is None:
-            ghost: Ghost = self.ghosts.items[world.ghost]
+            oracle: OracleState = self.oracle_states.items[system.oracle]
             state: ReplicaState = self.states.items[effect.state]
             for message in effect.votes:
                 voting = state.durable.whole and state.status is m.Status.VOTING
-                self.expect(voting, "a vote before recovery", world, label)
-                ghost = self.vote(ghost, world, i, message, label)
-            for said in effect.said:
-                ghost = self.say(ghost, world, said, label)
-            for token in ghost.refused:
+                self.require(voting, "a vote before recovery", system, label)
+                oracle = self.check_vote(oracle, system, i, message, label)
+            for output in effect.outputs:
+                oracle = self.check_output(oracle, system, output, label)
+            for token in oracle.refused:
                 write = self.scope.writes[token]
                 content = write.document + f"w{token}"
-                self.expect(
-                    (write.base + 1, content) not in ghost.chosen, "refused, but chosen", world, label
+                self.require(
+                    (write.base + 1, content) not in oracle.chosen, "refused, but chosen", system, label
                 )
-            found = self.judged[key] = self.ghosts.put(ghost)
+            found = self.checked[key] = self.oracle_states.intern(oracle)
         return found
 
-    def say(self, ghost: Ghost, world: World, said: m.Committed | m.Reply, label: Any) -> Ghost:
-        chosen = dict(ghost.chosen)
-        if isinstance(said, m.Committed):
-            version = said.version
+    def check_output(
+        self, oracle: OracleState, system: SystemState, output: m.Committed | m.Reply, label: Any
+    ) -> OracleState:
+        chosen = dict(oracle.chosen)
+        if isinstance(output, m.Committed):
+            version = output.version
             content = version.digest + version.author
-            if self.scope.back:
+            if self.scope.disk_rollbacks:
                 first = chosen.setdefault(version.number, content)
-                self.expect(first == content, "two contents committed under one number", world, label)
-                return ghost._replace(chosen=tuple(sorted(chosen.items())))
-            self.expect(chosen.get(version.number) == content, "committed, but not chosen", world, label)
-        elif isinstance(said.result, m.Accepted):
-            write, number = self.scope.writes[said.token], said.result.number
-            content = write.document + f"w{said.token}"
-            self.expect(number == write.base + 1, "accepted under another number", world, label)
-            self.expect(chosen.get(number) == content, "accepted, but not chosen", world, label)
-            return ghost._replace(accepted=tuple(sorted({*ghost.accepted, said.token})))
-        elif not isinstance(said.result, m.Undecided):
-            return ghost._replace(refused=tuple(sorted({*ghost.refused, said.token})))
-        return ghost
-
-    def vote(self, ghost: Ghost, world: World, i: int, message: Any, label: Any) -> Ghost:
-        """No vote below an earlier one of the same replica; one content a ballot; one chosen a number.
-
-        A replica that lost its disk may forget a ballot of its own that no other has heard of. One whose
-        disk was set back may forget votes that their proposer is going to ignore: there only what is
-        committed counts."""
+                self.require(first == content, "two contents committed under one number", system, label)
+                return oracle._replace(chosen=tuple(sorted(chosen.items())))
+            self.require(chosen.get(version.number) == content, "committed, but not chosen", system, label)
+        elif isinstance(output.result, m.Accepted):
+            write, number = self.scope.writes[output.token], output.result.number
+            content = write.document + f"w{output.token}"
+            self.require(number == write.base + 1, "accepted under another number", system, label)
+            self.require(chosen.get(number) == content, "accepted, but not chosen", system, label)
+            return oracle._replace(accepted=tuple(sorted({*oracle.accepted, output.token})))
+        elif not isinstance(output.result, m.Undecided):
+            return oracle._replace(refused=tuple(sorted({*oracle.refused, output.token})))
+        return oracle
+
+    def check_vote(
+        self, oracle: OracleState, system: SystemState, i: int, message: Any, label: Any
+    ) -> OracleState:
+        """Checks that a replica never votes in a lower ballot than before, that each ballot has one content,
+        and that one content is chosen for each version number.
+
+        A replica that lost its disk may forget its own ballot if no other replica has received it. A replica
+        with an older disk may forget votes that their proposer is going to ignore; in such a scope only
+        committed versions are checked."""
         ballot, scope = message.ballot, self.scope
-        if scope.back:
-            return ghost
-        if not scope.lost or isinstance(message, m.Promise | m.AcceptedVote):
-            self.expect(ballot >= ghost.highest[i], "a vote below an earlier one", world, label)
-            ghost = ghost._replace(highest=_with(ghost.highest, i, ballot))
+        if scope.disk_rollbacks:
+            return oracle
+        if not scope.disk_losses or isinstance(message, m.Promise | m.AcceptedVote):
+            self.require(ballot >= oracle.highest[i], "a vote below an earlier one", system, label)
+            oracle = oracle._replace(highest=_replaced(oracle.highest, i, ballot))
         if not isinstance(message, m.Accept | m.AcceptedVote):
-            return ghost
-        votes = {vote[0]: vote for vote in ghost.votes}
+            return oracle
+        votes = {vote[0]: vote for vote in oracle.votes}
         if isinstance(message, m.Accept):
             version = message.version
             content = version.digest + version.author
-            new = votes.setdefault(ballot, (ballot, version.number, content, (i,)))
-            self.expect(new[1:3] == (version.number, content), "two contents in a ballot", world, label)
+            recorded = votes.setdefault(ballot, (ballot, version.number, content, (i,)))
+            self.require(
+                recorded[1:3] == (version.number, content), "two contents in a ballot", system, label
+            )
         else:
             _, number, content, voters = votes[ballot]
             votes[ballot] = (ballot, number, content, tuple(sorted({*voters, i})))
         _, number, content, voters = votes[ballot]
-        chosen = dict(ghost.chosen)
+        chosen = dict(oracle.chosen)
         if len(voters) >= 2:
             first = chosen.setdefault(number, content)
-            self.expect(first == content, "two contents chosen under one number", world, label)
-        return ghost._replace(chosen=tuple(sorted(chosen.items())), votes=tuple(sorted(votes.values())))
+            self.require(first == content, "two contents chosen under one number", system, label)
+        return oracle._replace(chosen=tuple(sorted(chosen.items())), votes=tuple(sorted(votes.values())))
 
-    def kept(self, world: World) -> None:
-        """What was accepted is on some disk."""
-        ghost: Ghost = self.ghosts.items[world.ghost]
-        for token in ghost.accepted:
+    def check_durability(self, system: SystemState) -> None:
+        """Checks that every accepted version is on at least one disk."""
+        oracle: OracleState = self.oracle_states.items[system.oracle]
+        for token in oracle.accepted:
             write = self.scope.writes[token]
-            disks: list[m.Durable] = [self.disks.items[disk] for disk in world.disks]
-            self.expect(
+            disks: list[m.Durable] = [self.disks.items[disk] for disk in system.disks]
+            self.require(
                 any(
                     disk.number > write.base
                     or (disk.accepted is not None and disk.accepted.version.document == write.document)
                     for disk in disks
                 ),
                 "an accepted version is on no disk",
-                world,
+                system,
                 "",
             )
 
-    def expect(self, holds: bool, rule: str, world: World, label: Any) -> None:
+    def require(self, holds: bool, rule: str, system: SystemState, label: Any) -> None:
         if not holds:
-            raise BrokenError(f"{rule}:\n" + "\n".join([*self.trace(world), self.text(label)]))
+            raise InvariantError(f"{rule}:\n" + "\n".join([*self.trace(system), self.describe(label)]))
 
-    def text(self, label: Any) -> str:
+    def describe(self, label: Any) -> str:
         if isinstance(label, int):
             sent: Sent = self.messages.items[label]
             return f"{NAMES[sent.sender]} to {NAMES[sent.to]}: {sent.message}"
         return str(label)
 
-    def trace(self, world: World | None) -> list[str]:
+    def trace(self, system: SystemState | None) -> list[str]:
         lines: list[str] = []
-        while world is not None and world in self.parents:
-            world, label = self.parents[world]
-            lines.append(self.text(label))
+        while system is not None and system in self.parents:
+            system, label = self.parents[system]
+            lines.append(self.describe(label))
         return lines[::-1]
 
-    def run(self, most: int = 10**9) -> tuple[int, int, bool]:
-        """States and steps seen, and whether that is all. Raises `BrokenError`."""
-        first = self.first()
+    def run(self, max_states: int = 10**9) -> tuple[int, int, bool]:
+        """Explores the states breadth-first until none is new, or until there are more than `max_states`.
+
+        Returns the numbers of states and of steps, and whether all states were visited. Raises
+        `InvariantError` at the first violation."""
+        first = self.initial_system()
         self.parents[first] = (None, "start")
         level, steps = [first], 0
         while level:
             following = []
-            for world in level:
-                for after, label in self.next(world):
+            for system in level:
+                for after, label in self.successors(system):
                     steps += 1
                     if after not in self.parents:
-                        self.parents[after] = (world, label)
-                        if after.ghost or after.disks != world.disks:
-                            self.kept(after)
+                        self.parents[after] = (system, label)
+                        if after.oracle or after.disks != system.disks:
+                            self.check_durability(after)
                         following.append(after)
-                if len(self.parents) > most:
+                if len(self.parents) > max_states:
                     return len(self.parents), steps, False
             level = following
         return len(self.parents), steps, True
 
 
-def _with(three: tuple[T, T, T], i: int, value: T) -> tuple[T, T, T]:
-    a, b, c = three
+def _replaced(values: tuple[T, T, T], i: int, value: T) -> tuple[T, T, T]:
+    a, b, c = values
     return (value, b, c) if i == 0 else (a, value, c) if i == 1 else (a, b, value)
 
 
@@ -504,10 +574,12 @@
     parser.add_argument("--lost", type=int, default=0)
     parser.add_argument("--back", type=int, default=0)
     parser.add_argument("--writers", type=int, default=2)
-    parser.add_argument("--impatient", action="store_true", help="a start is content with one peer's answer")
+    parser.add_argument("--impatient", action="store_true", help="a start needs the answer of only one peer")
     parser.add_argument("--only", default="0,1,2", help="the replicas that may stop")
     parser.add_argument("--mute", default="", help="kinds of message that are always lost, e.g. Nack,Fetch")
-    parser.add_argument("--new", action="store_true", help="a lost disk is started as if for the first time")
+    parser.add_argument(
+        "--new", action="store_true", help="a replica with a lost disk starts with the first-start option"
+    )
     parser.add_argument("--oldest", action="store_true", help="the copy is of the first disk")
     parser.add_argument("--most", type=int, default=10**9, help="states after which to stop")
     args = parser.parse_args()
