--- a/tests/replica.py
+++ b/tests/replica.py
@@ -1,5 +1,4 @@
-"""Stands in for a replica of the configuration, on a real socket: the test says what it holds and how it
-fails."""
+"""A fake replica of the configuration on a real socket. The test sets its newest version and its faults."""
 
 from __future__ import annotations
 
@@ -14,13 +13,15 @@
 
 
 class Replica:
+    """Answers the nodes' requests for a newer version, as a replica does."""
+
     def __init__(self) -> None:
         self.changed = Condition()
-        self.told: dict[str, Any] = {"number": 0, "digest": ""}  # the newest version, as it is answered
-        self.silent = False  # calls are taken and never answered
+        self.newest: dict[str, Any] = {"number": 0, "digest": ""}  # the body of answers
+        self.silent = False  # whether requests are accepted and never answered
         self.status = 200
-        self.cut = 0  # bytes left out at the end of each answer's JSON
-        self.calls: list[dict[str, str]] = []  # their queries, in the order in which they came
+        self.truncated_bytes = 0  # missing at the end of each answer's body
+        self.calls: list[dict[str, str]] = []  # the queries of all requests, in order of arrival
         replica = self
 
         class Handler(BaseHTTPRequestHandler):
@@ -43,16 +44,16 @@
             daemon_threads = True
 
             def handle_error(self, request: Any, client_address: Any) -> None:
-                pass  # nodes give calls up
+                pass  # nodes cancel requests
 
         self.server = Server(("127.0.0.1", 0), Handler)
-        self.at = f"127.0.0.1:{self.server.server_port}"
+        self.address = f"127.0.0.1:{self.server.server_port}"
         self.closed = False
         Thread(target=self.server.serve_forever, args=(0.05,), daemon=True).start()
 
     def push(self, number: int, document: str, author: str = "ann", wrong_digest: str = "") -> None:
         with self.changed:
-            self.told = {
+            self.newest = {
                 "number": number,
                 "digest": wrong_digest or digest(document),
                 "author": author,
@@ -68,33 +69,33 @@
             self.changed.notify_all()
 
     def answer(self, target: str) -> bytes | None:
-        """None: no answer, and the connection ends."""
+        """The body of the answer, as soon as there is one. None closes the connection without an answer."""
         query = dict(parse_qsl(urlsplit(target).query))
-        after, until = int(query["after"]), time.monotonic() + int(query["wait_ms"]) / 1000
+        after, deadline = int(query["after"]), time.monotonic() + int(query["wait_ms"]) / 1000
         with self.changed:
             self.calls.append(query)
             self.changed.notify_all()
-            while self.silent or (self.told["number"] <= after and self.status == 200):
-                left = None if self.silent else until - time.monotonic()
+            while self.silent or (self.newest["number"] <= after and self.status == 200):
+                remaining = None if self.silent else deadline - time.monotonic()
                 if self.closed:
                     return None
-                if left is not None and left <= 0:
-                    return json.dumps({k: self.told[k] for k in ("number", "digest")}).encode()
-                self.changed.wait(left)
-            body = json.dumps(self.told).encode()
-            return body[: len(body) - self.cut]
-
-    def wait_for_call(self, within: float, **wanted: str) -> dict[str, str]:
-        """The first call whose query holds these."""
-        end = time.monotonic() + within
+                if remaining is not None and remaining <= 0:
+                    return json.dumps({k: self.newest[k] for k in ("number", "digest")}).encode()
+                self.changed.wait(remaining)
+            body = json.dumps(self.newest).encode()
+            return body[: len(body) - self.truncated_bytes]
+
+    def wait_for_call(self, timeout_s: float, **parameters: str) -> dict[str, str]:
+        """Waits for a request whose query has these parameters, and returns its query."""
+        deadline = time.monotonic() + timeout_s
         with self.changed:
             while True:
                 for call in self.calls:
-                    if wanted.items() <= call.items():
+                    if parameters.items() <= call.items():
                         return call
-                if time.monotonic() >= end:
-                    raise AssertionError(f"no call with {wanted} in {within} s, but {self.calls[-5:]}")
-                self.changed.wait(end - time.monotonic())
+                if time.monotonic() >= deadline:
+                    raise AssertionError(f"no call with {parameters} in {timeout_s} s, but {self.calls[-5:]}")
+                self.changed.wait(deadline - time.monotonic())
 
     def close(self) -> None:
         self.set(closed=True)
--- a/tests/test_configuration_node.py
+++ b/tests/test_configuration_node.py
@@ -48,7 +48,7 @@
 
 
 def section(*replicas: Replica | str, **more: Any) -> str:
-    places = [replica if isinstance(replica, str) else replica.at for replica in replicas]
+    places = [replica if isinstance(replica, str) else replica.address for replica in replicas]
     lines = [f"{name} = {json.dumps(value)}" for name, value in {"replicas": places, **more}.items()]
     return "[configuration]\n" + "\n".join(lines) + "\n"
 
@@ -111,10 +111,10 @@
         replica.push(2, document(mostTries=2))
         self.log("configuration 2 by ann", "in force")
         # An answer that is cut.
-        replica.set(cut=3)
+        replica.set(truncated_bytes=3)
         replica.push(3, document(mostTries=4))
         time.sleep(0.5)
-        replica.set(cut=0)
+        replica.set(truncated_bytes=0)
         self.log("configuration 3 by ann", "in force")
         # A document that was cut before its digest was made, and one that changes a fixed key: both are
         # refused for good, and the replica is told why.
