--- a/tests/replicas.py
+++ b/tests/replicas.py
@@ -1,7 +1,7 @@
-"""Three real control processes on loopback, each reaching the others through relays that tests can cut.
+"""Three real control processes on loopback, connected through relays that tests can interrupt.
 
-A process listens at a port of the kernel's choice and tells it in its log; the relays, whose ports stay,
-learn it from there.  All waits are for events and end after `PATIENCE`."""
+The kernel chooses the port on which a process listens. The port is read from the process's log, and the
+relays, whose own ports stay the same, are pointed to it. All waits end after `PATIENCE`."""
 
 from __future__ import annotations
 
@@ -27,30 +27,32 @@
 from violetsaddle.decide.document import digest
 from violetsaddle.lab.live.children import PR_SET_PDEATHSIG, TREE
 
-PATIENCE = 30.0  # seconds until a test that waits for what never comes has failed
+PATIENCE = 30.0  # seconds that a test waits for an event before it fails
 NAMES = ("c0", "c1", "c2")
 _libc = ctypes.CDLL(None, use_errno=True)
 
 
 def document(share: float = 2.0, settings: dict[str, Any] = SETTINGS) -> str:
-    """Of a version: the settings with another share for the first tenant."""
+    """The document of a version: the settings with another share for the first tenant."""
     changed = copy.deepcopy(settings)
     changed["tenants"][0]["share"] = share
     return json.dumps(changed)
 
 
 class Reply(NamedTuple):
+    """An HTTP response with its decoded JSON body."""
+
     status: int
     body: dict[str, Any]
 
 
 class Program:
-    """A child process; its lines of standard error as they come."""
+    """A child process. `lines` has the lines of its standard error so far."""
 
     def __init__(self, args: Sequence[str], env: dict[str, str], files: int = 0) -> None:
-        """`files`: descriptors that it may hold; 0: as many as this process."""
+        """`files`: the limit of its open file descriptors; 0 keeps the limit of this process."""
         self.lines: list[str] = []
-        self._more = threading.Condition()
+        self._lines_changed = threading.Condition()
         parent = os.getpid()
 
         def prepare() -> None:
@@ -60,7 +62,7 @@
             if files:
                 resource.setrlimit(resource.RLIMIT_NOFILE, (files, files))
 
-        told = {k: v for k, v in os.environ.items() if not k.startswith(("RELAY_", "VIOLETSADDLE_"))}
+        inherited = {k: v for k, v in os.environ.items() if not k.startswith(("RELAY_", "VIOLETSADDLE_"))}
         self.process = subprocess.Popen(
             args,
             stdin=subprocess.DEVNULL,
@@ -68,7 +70,7 @@
             stderr=subprocess.PIPE,
             text=True,
             cwd=TREE,
-            env={**told, **env},
+            env={**inherited, **env},
             preexec_fn=prepare,
         )
         self._reader = threading.Thread(target=self._read, daemon=True)
@@ -77,30 +79,31 @@
     def _read(self) -> None:
         assert self.process.stderr is not None
         for line in self.process.stderr:
-            with self._more:
+            with self._lines_changed:
                 self.lines.append(line.rstrip("\n"))
-                self._more.notify_all()
+                self._lines_changed.notify_all()
 
     def says(self, pattern: str, after: int = 0) -> re.Match[str]:
-        """Waits for a line that holds a pattern, from line number `after` on."""
-        until = time.monotonic() + PATIENCE
-        with self._more:
+        """Waits for a line that matches the pattern, from index `after` of the lines on."""
+        deadline = time.monotonic() + PATIENCE
+        with self._lines_changed:
             while True:
                 for line in self.lines[after:]:
                     if found := re.search(pattern, line):
                         return found
-                left = until - time.monotonic()
-                if left <= 0 or (self.process.poll() is not None and not self._reader.is_alive()):
-                    raise AssertionError(f"{pattern!r} was not said: {self.lines}")
-                self._more.wait(min(left, 0.2))
+                remaining = deadline - time.monotonic()
+                if remaining <= 0 or (self.process.poll() is not None and not self._reader.is_alive()):
+                    raise AssertionError(f"no line matches {pattern!r}: {self.lines}")
+                self._lines_changed.wait(min(remaining, 0.2))
 
-    def end(self, number: int = signal.SIGKILL) -> int:
-        """Sends a signal and waits for the end; its status."""
+    def end(self, signal_number: int = signal.SIGKILL) -> int:
+        """Sends a signal, waits for the process to exit, and returns its exit status."""
         if self.process.poll() is None:
-            self.process.send_signal(number)
+            self.process.send_signal(signal_number)
         return self.ended()
 
     def ended(self) -> int:
+        """Waits for the process to exit, and returns its exit status."""
         status = self.process.wait(PATIENCE)
         self._reader.join(PATIENCE)
         if self.process.stderr is not None:
@@ -109,7 +112,7 @@
 
 
 class Replicas:
-    """The three of them; `close` ends all."""
+    """Three control processes with their relays and stores. `close` kills the processes."""
 
     def __init__(self, folder: str, settings: dict[str, Any] = SETTINGS) -> None:
         self.folder, self.settings = Path(folder), settings
@@ -117,7 +120,7 @@
         self.configuration.write_text(json.dumps({"name": "n0", "settings": {**settings, "ordinal": 3}}))
         self.relays = Relays()
         self.ways: dict[tuple[str, str], Relay] = {
-            (one, other): self.relays.relay() for one in NAMES for other in NAMES if one != other
+            (source, target): self.relays.relay() for source in NAMES for target in NAMES if source != target
         }
         self.programs: dict[str, Program] = {}
         self.ports: dict[str, int] = {}
@@ -131,10 +134,14 @@
         return self.folder / name / "replica.db"
 
     def start(self, *names: str, new: bool = False, stop_at: str = "", files: int = 0) -> None:
-        """Starts these, all at once, and waits until they listen.  `stop_at`: see `tests.stopped_control`."""
+        """Starts these replicas at the same time, and waits until they listen.
+
+        `stop_at`: see `tests.stopped_control`."""
         for name in names:
             self.store(name).parent.mkdir(exist_ok=True)
-            peers = [f"--peer={o}=127.0.0.1:{self.ways[name, o].port}" for o in NAMES if o != name]
+            peers = [
+                f"--peer={peer}=127.0.0.1:{self.ways[name, peer].port}" for peer in NAMES if peer != name
+            ]
             entry = "tests.stopped_control" if stop_at else "violetsaddle.cli"
             self.programs[name] = Program(
                 [
@@ -156,44 +163,46 @@
 
     @property
     def room(self) -> Path:
-        """The file that gives a full disk room again."""
+        """The path of the file whose existence ends the simulated full disk."""
         return self.folder / "room"
 
     def begin(self) -> None:
-        """The first start of all three."""
+        """Starts all three replicas for the first time, and waits until they vote."""
         self.start(*NAMES, new=True)
         self.voting(*NAMES)
 
     def voting(self, *names: str) -> None:
+        """Waits until these replicas vote."""
         for name in names:
             self.programs[name].says(r": voting, version \d+")
 
-    def end(self, name: str, number: int = signal.SIGKILL) -> int:
+    def end(self, name: str, signal_number: int = signal.SIGKILL) -> int:
+        """Disconnects a replica's relays, sends it a signal, and returns its exit status."""
         for (_, other), way in self.ways.items():
             if other == name:
                 way.target = 0
-        return self.programs[name].end(number)
+        return self.programs[name].end(signal_number)
 
-    def cut(self, name: str, **how: Any) -> None:
-        """Between this one and the others, both ways; nothing told: as it was before."""
+    def cut(self, name: str, **faults: Any) -> None:
+        """Sets faults on the relays between this replica and the others. Without faults, removes them."""
         for pair, way in self.ways.items():
             if name in pair:
-                way.set(**how)
+                way.set(**faults)
 
     def copy_store(self, name: str) -> Path:
-        """Of a replica that has ended."""
-        kept = self.folder / f"{name}-copy"
-        shutil.rmtree(kept, ignore_errors=True)
-        shutil.copytree(self.store(name).parent, kept)
-        return kept
-
-    def put_store(self, name: str, kept: Path | None) -> None:
-        """The copy, or an empty disk."""
+        """Copies the store of a replica that has exited."""
+        copy_path = self.folder / f"{name}-copy"
+        shutil.rmtree(copy_path, ignore_errors=True)
+        shutil.copytree(self.store(name).parent, copy_path)
+        return copy_path
+
+    def put_store(self, name: str, copy_path: Path | None) -> None:
+        """Replaces the store of a replica by a copy of it; None deletes it."""
         shutil.rmtree(self.store(name).parent)
-        if kept is not None:
-            shutil.copytree(kept, self.store(name).parent)
+        if copy_path is not None:
+            shutil.copytree(copy_path, self.store(name).parent)
 
-    # What clients do.
+    # Client requests.
 
     def address(self, name: str) -> str:
         return f"127.0.0.1:{self.ports[name]}"
@@ -202,42 +211,45 @@
         return [self.address(name) for name in names or NAMES]
 
     def call(self, name: str, method: str, path: str, body: bytes | None = None) -> Reply:
-        line = http.client.HTTPConnection("127.0.0.1", self.ports[name], timeout=PATIENCE)
+        connection = http.client.HTTPConnection("127.0.0.1", self.ports[name], timeout=PATIENCE)
         try:
-            line.request(method, path, body)
-            answer = line.getresponse()
-            return Reply(answer.status, json.loads(answer.read() or b"{}"))
+            connection.request(method, path, body)
+            response = connection.getresponse()
+            return Reply(response.status, json.loads(response.read() or b"{}"))
         finally:
-            line.close()
+            connection.close()
 
     def write(self, name: str, base: int, text: str, author: str = "ann", **changed: Any) -> Reply:
-        told = {"base": base, "author": author, "digest": digest(text), "document": text, **changed}
-        return self.call(name, "POST", "/configuration", json.dumps(told).encode())
+        """Proposes a document. `changed` overrides fields of the request."""
+        request = {"base": base, "author": author, "digest": digest(text), "document": text, **changed}
+        return self.call(name, "POST", "/configuration", json.dumps(request).encode())
 
     def status(self, name: str) -> dict[str, Any]:
         return self.call(name, "GET", "/configuration/status").body
 
     def holds(self, name: str, number: int) -> dict[str, Any]:
-        """Waits until a replica has committed so many; its newest."""
-        until = time.monotonic() + PATIENCE
+        """Waits until a replica has committed this version or a newer one, and returns the newest one."""
+        deadline = time.monotonic() + PATIENCE
         while True:
-            told = self.call(name, "GET", f"/configuration?after={number - 1}&wait_ms=2000").body
-            if told["number"] >= number:
-                return told
-            if time.monotonic() > until:
-                raise AssertionError(f"{name} holds {told['number']}, not {number}: {self.status(name)}")
-
-    def until(self, met: Callable[[], bool], what: str) -> None:
-        """For what nothing tells: looked at again and again."""
-        until, pause = time.monotonic() + PATIENCE, threading.Event()
-        while not met():
-            if time.monotonic() > until:
+            newest = self.call(name, "GET", f"/configuration?after={number - 1}&wait_ms=2000").body
+            if newest["number"] >= number:
+                return newest
+            if time.monotonic() > deadline:
+                raise AssertionError(
+                    f"{name} has version {newest['number']}, not {number}: {self.status(name)}"
+                )
+
+    def until(self, condition: Callable[[], bool], description: str) -> None:
+        """Polls until the condition is true."""
+        deadline, pause = time.monotonic() + PATIENCE, threading.Event()
+        while not condition():
+            if time.monotonic() > deadline:
                 raise AssertionError(
-                    f"never: {what}: {[(n, p.lines[-5:]) for n, p in self.programs.items()]}"
+                    f"timed out: {description}: {[(n, p.lines[-5:]) for n, p in self.programs.items()]}"
                 )
             pause.wait(0.05)
 
     def faults(self) -> list[str]:
-        """Lines of all logs that tell of a fault in the program."""
-        bad = re.compile("Traceback|faults=|failed:|fault")
-        return [line for p in self.programs.values() for line in p.lines if bad.search(line)]
+        """The lines of all logs that report a fault in the program."""
+        fault = re.compile("Traceback|faults=|failed:|fault")
+        return [line for p in self.programs.values() for line in p.lines if fault.search(line)]
