--- a/tests/replicas.py
+++ b/tests/replicas.py
@@ -83,7 +83,7 @@
                 self.lines.append(line.rstrip("\n"))
                 self._lines_changed.notify_all()
 
-    def says(self, pattern: str, after: int = 0) -> re.Match[str]:
+    def wait_for_line(self, pattern: str, after: int = 0) -> re.Match[str]:
         """Waits for a line that matches the pattern, from index `after` of the lines on."""
         deadline = time.monotonic() + PATIENCE
         with self._lines_changed:
@@ -100,9 +100,9 @@
         """Sends a signal, waits for the process to exit, and returns its exit status."""
         if self.process.poll() is None:
             self.process.send_signal(signal_number)
-        return self.ended()
+        return self.wait_for_exit()
 
-    def ended(self) -> int:
+    def wait_for_exit(self) -> int:
         """Waits for the process to exit, and returns its exit status."""
         status = self.process.wait(PATIENCE)
         self._reader.join(PATIENCE)
@@ -119,7 +119,7 @@
         self.configuration = self.folder / "node.json"
         self.configuration.write_text(json.dumps({"name": "n0", "settings": {**settings, "ordinal": 3}}))
         self.relays = Relays()
-        self.ways: dict[tuple[str, str], Relay] = {
+        self.links: dict[tuple[str, str], Relay] = {
             (source, target): self.relays.relay() for source in NAMES for target in NAMES if source != target
         }
         self.programs: dict[str, Program] = {}
@@ -140,7 +140,7 @@
         for name in names:
             self.store(name).parent.mkdir(exist_ok=True)
             peers = [
-                f"--peer={peer}=127.0.0.1:{self.ways[name, peer].port}" for peer in NAMES if peer != name
+                f"--peer={peer}=127.0.0.1:{self.links[name, peer].port}" for peer in NAMES if peer != name
             ]
             entry = "tests.stopped_control" if stop_at else "violetsaddle.cli"
             self.programs[name] = Program(
@@ -155,39 +155,39 @@
                 files,
             )
         for name in names:
-            port = int(self.programs[name].says(r"listening on 127\.0\.0\.1:(\d+)")[1])
+            port = int(self.programs[name].wait_for_line(r"listening on 127\.0\.0\.1:(\d+)")[1])
             self.ports[name] = port
-            for (_, other), way in self.ways.items():
+            for (_, other), link in self.links.items():
                 if other == name:
-                    way.target = port
+                    link.target = port
 
     @property
     def room(self) -> Path:
         """The path of the file whose existence ends the simulated full disk."""
         return self.folder / "room"
 
-    def begin(self) -> None:
+    def start_all(self) -> None:
         """Starts all three replicas for the first time, and waits until they vote."""
         self.start(*NAMES, new=True)
-        self.voting(*NAMES)
+        self.wait_until_voting(*NAMES)
 
-    def voting(self, *names: str) -> None:
+    def wait_until_voting(self, *names: str) -> None:
         """Waits until these replicas vote."""
         for name in names:
-            self.programs[name].says(r": voting, version \d+")
+            self.programs[name].wait_for_line(r": voting, version \d+")
 
     def end(self, name: str, signal_number: int = signal.SIGKILL) -> int:
         """Disconnects a replica's relays, sends it a signal, and returns its exit status."""
-        for (_, other), way in self.ways.items():
+        for (_, other), link in self.links.items():
             if other == name:
-                way.target = 0
+                link.target = 0
         return self.programs[name].end(signal_number)
 
-    def cut(self, name: str, **faults: Any) -> None:
+    def set_faults(self, name: str, **faults: Any) -> None:
         """Sets faults on the relays between this replica and the others. Without faults, removes them."""
-        for pair, way in self.ways.items():
+        for pair, link in self.links.items():
             if name in pair:
-                way.set(**faults)
+                link.set(**faults)
 
     def copy_store(self, name: str) -> Path:
         """Copies the store of a replica that has exited."""
@@ -196,7 +196,7 @@
         shutil.copytree(self.store(name).parent, copy_path)
         return copy_path
 
-    def put_store(self, name: str, copy_path: Path | None) -> None:
+    def replace_store(self, name: str, copy_path: Path | None) -> None:
         """Replaces the store of a replica by a copy of it; None deletes it."""
         shutil.rmtree(self.store(name).parent)
         if copy_path is not None:
@@ -227,7 +227,7 @@
     def status(self, name: str) -> dict[str, Any]:
         return self.call(name, "GET", "/configuration/status").body
 
-    def holds(self, name: str, number: int) -> dict[str, Any]:
+    def wait_for_version(self, name: str, number: int) -> dict[str, Any]:
         """Waits until a replica has committed this version or a newer one, and returns the newest one."""
         deadline = time.monotonic() + PATIENCE
         while True:
@@ -239,7 +239,7 @@
                     f"{name} has version {newest['number']}, not {number}: {self.status(name)}"
                 )
 
-    def until(self, condition: Callable[[], bool], description: str) -> None:
+    def wait_until(self, condition: Callable[[], bool], description: str) -> None:
         """Polls until the condition is true."""
         deadline, pause = time.monotonic() + PATIENCE, threading.Event()
         while not condition():
@@ -249,7 +249,7 @@
                 )
             pause.wait(0.05)
 
-    def faults(self) -> list[str]:
+    def fault_lines(self) -> list[str]:
         """The lines of all logs that report a fault in the program."""
         fault = re.compile("Traceback|faults=|failed:|fault")
         return [line for p in self.programs.values() for line in p.lines if fault.search(line)]
--- a/tests/test_configuration_trouble.py
+++ b/tests/test_configuration_trouble.py
@@ -125,12 +125,12 @@
         self.addCleanup(self.replicas.close)
         for node in range(count):
             for name in NAMES:
-                self.replicas.ways[f"n{node}", name] = self.replicas.relays.relay()
-        self.replicas.begin()
+                self.replicas.links[f"n{node}", name] = self.replicas.relays.relay()
+        self.replicas.start_all()
         operators = []
         for node in range(count):
             known = (only or {}).get(node, NAMES)
-            places = [f"127.0.0.1:{self.replicas.ways[f'n{node}', name].port}" for name in known]
+            places = [f"127.0.0.1:{self.replicas.links[f'n{node}', name].port}" for name in known]
             kept = str(self.snapshot(node)) if node in snapshots else ""
             told = f"replicas = {json.dumps(places)}\nsnapshot = {json.dumps(kept)}\n"
             operators.append("[configuration]\n" + told)
@@ -154,7 +154,7 @@
     def set(self, pairs: Iterable[Pair], **how: Any) -> None:
         """These ways, and the ways back; nothing told: as they were before."""
         wanted = {*pairs} | {(b, a) for a, b in pairs}
-        for pair, way in self.replicas.ways.items():
+        for pair, way in self.replicas.links.items():
             if pair in wanted:
                 way.set(**how)
 
@@ -201,13 +201,13 @@
         self.in_force(2, healed, [2, 3])
         wanted = digest(self.document(mostTries=2))
         for name in NAMES:
-            self.assertEqual(self.replicas.holds(name, 2)["digest"], wanted)
+            self.assertEqual(self.replicas.wait_for_version(name, 2)["digest"], wanted)
         self.assertLess(time.monotonic() - healed, BOUND)
         self.in_force(3, self.accept("c2", 2, self.document(mostTries=3)))
         for node in range(4):
             self.assertEqual(numbers(self.tier.log(node)), [1, 2, 3])
         self.tier.sound(self)
-        self.assertEqual(self.replicas.faults(), [])
+        self.assertEqual(self.replicas.fault_lines(), [])
 
     def push(self, text: str, *names: str) -> tuple[int, str]:
         """Status of `config push` at these replicas, and what it printed."""
@@ -267,7 +267,7 @@
             wanted = digest(self.document(mostTries=3))[:8]
             self.assertIn(f"configuration 3 by ann ({wanted}) is in force", self.tier.log(node))
         self.tier.sound(self)
-        self.assertEqual(self.replicas.faults(), [])
+        self.assertEqual(self.replicas.fault_lines(), [])
 
     def ended_as_it_is_accepted(self) -> None:
         """Each ends somewhere between the write of version 3 and its own snapshot of it, and starts again."""
@@ -280,7 +280,7 @@
                 self.assertIn(unpacked(self.snapshot(node).read_bytes()).number, (2, 3))
             self.tier.again(node)
         writer.join(PATIENCE)
-        self.replicas.holds("c2", 3)
+        self.replicas.wait_for_version("c2", 3)
         self.tier.wait("listening on", PATIENCE)
         self.in_force(3, time.monotonic())
         for node in (0, 1):
@@ -290,8 +290,8 @@
     def answers_lost(self, number: int, nodes: Iterable[int]) -> None:
         """Until an answer with this version has vanished on its way to each node."""
         for name in NAMES:
-            self.replicas.holds(name, number)
-        ends = {n: [self.replicas.ways[f"n{n}", name].ends for name in NAMES] for n in nodes}
+            self.replicas.wait_for_version(name, number)
+        ends = {n: [self.replicas.links[f"n{n}", name].ends for name in NAMES] for n in nodes}
         for ways in ends.values():
             for end in [end for way in ways for end in list(way)]:
                 end.lossy = False  # what vanished before may have been another answer
@@ -310,14 +310,14 @@
         """n0 and n1 know c0 alone, which comes back with less than they have, and cut off."""
         self.begin(snapshots=(0,), only={0: ("c0",), 1: ("c0",)})
         self.in_force(1, self.accept("c0", 0, self.document(mostTries=1)))
-        self.replicas.holds("c0", 1)
+        self.replicas.wait_for_version("c0", 1)
         kept = self.copied("c0") if old else None
         for number in (2, 3):
             accepted = self.accept("c1", number - 1, self.document(mostTries=number))
             self.in_force(number, accepted)
         self.holds(0, 3)
         self.replicas.end("c0")
-        self.replicas.put_store("c0", kept)
+        self.replicas.replace_store("c0", kept)
         self.set([("c0", "c1"), ("c0", "c2")], **LOST)
         before = [self.tier.counters(node).get("configuration_behind", 0) for node in range(4)]
         self.replicas.start("c0")
@@ -334,20 +334,22 @@
             self.assertEqual(self.tier.counters(node)["configuration_number"], 3)
             self.assertEqual(numbers(self.tier.log(node)), [1, 2, 3] if node else [3])
         self.set([("c0", "c1"), ("c0", "c2")])
-        self.assertEqual(self.replicas.holds("c0", 3)["digest"], digest(self.document(mostTries=3)))
-        self.replicas.voting("c0")
+        self.assertEqual(
+            self.replicas.wait_for_version("c0", 3)["digest"], digest(self.document(mostTries=3))
+        )
+        self.replicas.wait_until_voting("c0")
         self.in_force(4, self.accept("c0", 3, self.document(mostTries=4)))
         for node in range(4):
             self.assertEqual(numbers(self.tier.log(node)), [1, 2, 3, 4] if node else [3, 4])
         self.tier.sound(self)
-        self.assertEqual(self.replicas.faults(), [])
+        self.assertEqual(self.replicas.fault_lines(), [])
 
     def copied(self, name: str) -> Path:
         """A copy of a replica's store; it is started again."""
         self.replicas.end(name)
         kept = self.replicas.copy_store(name)
         self.replicas.start(name)
-        self.replicas.voting(name)
+        self.replicas.wait_until_voting(name)
         return kept
 
     def told_of_less(self, node: int, before: int) -> None:
@@ -381,7 +383,7 @@
             self.assertTrue(60_000 <= len(text.encode()) <= MOST_BYTES, len(text.encode()))
             self.in_force(number, self.accept(NAMES[number], number - 1, text))
             for name in NAMES:
-                self.assertEqual(self.replicas.holds(name, number)["document"], text)
+                self.assertEqual(self.replicas.wait_for_version(name, number)["document"], text)
             for node in range(3):
                 self.assertIn(f"({digest(text)[:8]}) is in force: tenants[0].share", self.tier.log(node))
                 until(lambda: self.kept(node) == (number, text), "the snapshot holds it")  # noqa: B023
@@ -392,7 +394,7 @@
         self.tier.wait("listening on", PATIENCE, [0])
         self.assertEqual(numbers(self.tier.log(0)), [2])
         self.tier.sound(self)
-        self.assertEqual(self.replicas.faults(), [])
+        self.assertEqual(self.replicas.fault_lines(), [])
 
     def kept(self, node: int) -> tuple[int, str]:
         if not self.snapshot(node).exists():
@@ -411,7 +413,7 @@
         self.site = {**SETTINGS, **settings}
         self.replicas = Replicas(folder.name, self.site)
         self.addCleanup(self.replicas.close)
-        self.replicas.begin()
+        self.replicas.start_all()
         told = f"[configuration]\nreplicas = {json.dumps(self.replicas.addresses())}\n"
         self.start(settings, servers, operator=told + operator)
         self.base = 0
@@ -496,7 +498,7 @@
             self.assertEqual(counts.get(f"answer_{status}", 0), statuses.count(status), status)
         self.assertEqual(statuses.count(200), sum(executors.ran.values()))
         self.assertEqual([*executors.callbacks], ["204"])
-        self.assertEqual(self.replicas.faults(), [])
+        self.assertEqual(self.replicas.fault_lines(), [])
 
 
 class Cancelled(Served):
--- a/tests/test_configuration_whole.py
+++ b/tests/test_configuration_whole.py
@@ -27,11 +27,11 @@
         self.folder = folder.name
         self.replicas = Replicas(folder.name, SETTINGS)
         self.addCleanup(self.replicas.close)
-        self.replicas.begin()
+        self.replicas.start_all()
         told = f"[configuration]\nreplicas = {self.replicas.addresses()}\n".replace("'", '"')
         self.tier = Tier(self, 4, [told] * 4, strange={3: strange} if strange else None)
         self.tier.wait("listening on", PATIENCE)
-        self.replicas.until(lambda: len(self.heard()) == 4, "all nodes are heard")
+        self.replicas.wait_until(lambda: len(self.heard()) == 4, "all nodes are heard")
 
     def heard(self) -> set[str]:
         names = self.replicas.programs
@@ -62,7 +62,7 @@
             self.tier.wait(f"configuration {number} by", 0.5)
         for node in range(4):
             self.assertNotIn("faults", self.tier.counters(node))
-        self.assertEqual(self.replicas.faults(), [])
+        self.assertEqual(self.replicas.fault_lines(), [])
 
     def test_with_one_replica_killed_and_with_one_that_stands_still(self) -> None:
         self.begin()
@@ -82,7 +82,7 @@
     def test_a_replica_that_is_cut_off_keeps_no_node_behind(self) -> None:
         """Its nodes hear it still; it does not get the version."""
         self.begin()
-        self.replicas.cut("c0", cut=True)
+        self.replicas.set_faults("c0", cut=True)
         began = time.monotonic()
         self.assertEqual(self.replicas.write("c1", 0, document(SETTINGS, mostTries=1)).status, 200)
         self.tier.wait("configuration 1 by ann", BOUND)
--- a/tests/test_control.py
+++ b/tests/test_control.py
@@ -70,7 +70,7 @@
 
     def begun(self, settings: dict[str, Any] = SETTINGS) -> Replicas:
         ground = self.ground(settings)
-        ground.begin()
+        ground.start_all()
         return ground
 
     def accepted(self, reply: Reply, number: int) -> None:
@@ -78,10 +78,10 @@
 
     def settled(self, ground: Replicas, number: int) -> None:
         """All three hold this number, with one content; none has a fault to tell."""
-        held = [ground.holds(name, number) for name in NAMES]
+        held = [ground.wait_for_version(name, number) for name in NAMES]
         self.assertEqual([h["number"] for h in held], [number] * 3)
         self.assertEqual(len({json.dumps(h) for h in held}), 1, held)
-        self.assertEqual(ground.faults(), [])
+        self.assertEqual(ground.fault_lines(), [])
 
     def histories(self, ground: Replicas) -> list[list[tuple[int, str]]]:
         """What each has on disk, once all have ended."""
@@ -120,7 +120,7 @@
         for thread in watches:
             thread.start()
         for name in NAMES:
-            ground.until(lambda name=name: len(ground.status(name)["nodes"]) == 1, "a watch is open")  # type: ignore[misc]
+            ground.wait_until(lambda name=name: len(ground.status(name)["nodes"]) == 1, "a watch is open")  # type: ignore[misc]
         text = document(3.0)
         self.accepted(ground.write("c0", 0, text, "ann"), 1)
         for thread in watches:
@@ -141,7 +141,7 @@
     def test_a_watch_without_news_ends_in_time_and_says_where_the_replica_stands(self) -> None:
         ground = self.begun()
         self.accepted(ground.write("c0", 0, document(3.0)), 1)
-        ground.holds("c1", 1)
+        ground.wait_for_version("c1", 1)
         begun = time.monotonic()
         told = ground.call("c1", "GET", "/configuration?after=7&wait_ms=300")
         self.assertEqual(told, (200, {"number": 1, "digest": digest(document(3.0))}))
@@ -179,7 +179,7 @@
             self.assertEqual(sorted(r.status for r in replies.values()), [200, 409, 409], replies)
             won = [name for name, reply in replies.items() if reply.status == 200]
             for name in NAMES:
-                self.assertEqual(ground.holds(name, base + 1)["author"], won[0])
+                self.assertEqual(ground.wait_for_version(name, base + 1)["author"], won[0])
         self.settled(ground, 6)
         histories = self.histories(ground)
         self.assertEqual(histories[0], histories[1])
@@ -195,11 +195,11 @@
         ground.end("c2")
         begun = time.monotonic()
         self.accepted(ground.write("c0", 1, document(4.0)), 2)
-        ground.holds("c1", 2)
+        ground.wait_for_version("c1", 2)
         self.accepted(ground.write("c1", 2, document(5.0)), 3)
         self.assertLess(time.monotonic() - begun, PROMPT)
-        ground.programs["c0"].says("replica c2 is lost")
-        ground.holds("c0", 3)
+        ground.programs["c0"].wait_for_line("replica c2 is lost")
+        ground.wait_for_version("c0", 3)
         ground.end("c1")
         begun = time.monotonic()
         refused = ground.write("c0", 3, document(6.0))
@@ -210,8 +210,8 @@
         self.assertEqual((told["number"], told["document"]), (3, document(5.0)))
         # Both come back, and what was refused has not taken effect.
         ground.start("c1", "c2")
-        ground.programs["c0"].says("replica c2 is back")
-        ground.voting("c1", "c2")
+        ground.programs["c0"].wait_for_line("replica c2 is back")
+        ground.wait_until_voting("c1", "c2")
         self.settled(ground, 3)
         self.accepted(ground.write("c2", 3, document(7.0)), 4)
         self.settled(ground, 4)
@@ -220,25 +220,25 @@
         for how in ({"cut": True}, {"drop": True, "drop_back": True}):
             with self.subTest(str(how)):
                 ground = self.begun()
-                ground.cut("c2", **how)
+                ground.set_faults("c2", **how)
                 begun = time.monotonic()
                 self.accepted(ground.write("c0", 0, document(3.0)), 1)
-                ground.holds("c1", 1)  # else it may say that it is behind
+                ground.wait_for_version("c1", 1)  # else it may say that it is behind
                 self.accepted(ground.write("c1", 1, document(4.0)), 2)
                 self.assertLess(time.monotonic() - begun, PROMPT)
                 refused = ground.write("c2", 0, document(5.0))
                 self.assertEqual((refused.status, refused.body["error"]), (503, "no_majority"), refused)
                 self.assertEqual(ground.call("c2", "GET", "/configuration").body["number"], 0)
-                ground.cut("c2")
+                ground.set_faults("c2")
                 self.settled(ground, 2)
                 self.accepted(ground.write("c2", 2, document(6.0)), 3)
                 self.settled(ground, 3)
 
     def test_cut_one_way_or_slow_it_still_agrees(self) -> None:
         ground = self.begun()
-        ground.ways["c0", "c1"].set(drop=True)
-        ground.ways["c2", "c0"].set(delay=0.15)
-        ground.ways["c1", "c2"].set(delay=0.1)
+        ground.links["c0", "c1"].set(drop=True)
+        ground.links["c2", "c0"].set(delay=0.15)
+        ground.links["c1", "c2"].set(delay=0.1)
         for number, name in enumerate(NAMES):
             reply = ground.write(name, number, document(3.0 + number))
             if reply.status != 200:  # such a network may leave a round undecided, but not a repeat of it
@@ -246,8 +246,8 @@
                 reply = ground.write(name, number, document(3.0 + number))
             self.accepted(reply, number + 1)
             for other in NAMES:
-                ground.holds(other, number + 1)
-        for way in ground.ways.values():
+                ground.wait_for_version(other, number + 1)
+        for way in ground.links.values():
             way.set()
         self.settled(ground, 3)
 
@@ -274,24 +274,24 @@
         for writer in writers:
             writer.start()
         for _ in range(30):
-            way = chance.choice(list(ground.ways.values()))
+            way = chance.choice(list(ground.links.values()))
             how = chance.choice([{"cut": True}, {"drop": True}, {"drop_back": True}, {"delay": 0.1}, {}, {}])
             way.set(**how)  # type: ignore[arg-type]
             over.wait(0.15)
         over.set()
-        for way in ground.ways.values():
+        for way in ground.links.values():
             way.set()
         for writer in writers:
             writer.join(PATIENCE)
         number = max(ground.status(name)["number"] for name in NAMES)
         for name in NAMES:
-            ground.holds(name, number)
+            ground.wait_for_version(name, number)
         # Something accepted at a replica alone may still be finished by it: then that is one version more.
         last = ground.write("c0", number, document(1000.0), "last")
         while last.status != 200:
             number = max(ground.status(name)["number"] for name in NAMES)
             for name in NAMES:
-                ground.holds(name, number)
+                ground.wait_for_version(name, number)
             last = ground.write("c0", number, document(1000.0), "last")
         self.settled(ground, last.body["number"])
         histories = self.histories(ground)
@@ -318,7 +318,7 @@
                         if not died:
                             ground.end("c0")
                         ground.start("c0")
-                        ground.voting("c0")
+                        ground.wait_until_voting("c0")
                         self.settled(ground, number)
                     if not died:
                         # The start, the promise, the vote and what is committed at least.
@@ -333,7 +333,7 @@
     def one_write(self, ground: Replicas, writer: str, base: int) -> tuple[bool, int]:
         """Writes after `base` while c0 may die; whether it did, and the number that was accepted."""
         dying = ground.programs["c0"]
-        ground.until(
+        ground.wait_until(
             lambda: dying.process.poll() is not None or any(": voting" in line for line in dying.lines),
             "c0 votes or dies",
         )
@@ -351,9 +351,9 @@
         self.accepted(reply, base + 1)
         try:
             # Its last write may come after the answer.
-            ground.until(lambda: ground.status("c0")["number"] > base, "c0 knows")
+            ground.wait_until(lambda: ground.status("c0")["number"] > base, "c0 knows")
         except (OSError, ValueError):
-            self.assertEqual(dying.ended(), -signal.SIGKILL)
+            self.assertEqual(dying.wait_for_exit(), -signal.SIGKILL)
             return True, base + 1
         return False, base + 1
 
@@ -371,15 +371,15 @@
         ground.end("c1")
         kept = ground.copy_store("c1") if disk == "old" else None
         ground.start("c1")
-        ground.voting("c1")
+        ground.wait_until_voting("c1")
         # c0 and c1 agree on 2 and c2 does not hear of it.
-        ground.cut("c2", cut=True)
+        ground.set_faults("c2", cut=True)
         self.accepted(ground.write("c0", 1, document(4.0)), 2)
-        ground.holds("c1", 2)
+        ground.wait_for_version("c1", 2)
         ground.end("c1")
-        ground.put_store("c1", kept)
+        ground.replace_store("c1", kept)
         ground.end("c0")
-        ground.cut("c2")
+        ground.set_faults("c2")
         ground.start("c1")
         back = ground.programs["c1"]
         # c2 alone can't tell it all: no vote, although the two would be a majority.
@@ -391,9 +391,9 @@
         self.assertFalse([line for line in back.lines if ": voting" in line])
         self.assertEqual(ground.status("c2")["number"], 1)
         ground.start("c0")
-        ground.voting("c0", "c1")
+        ground.wait_until_voting("c0", "c1")
         self.settled(ground, 2)
-        self.assertEqual(ground.holds("c1", 2)["document"], document(4.0))
+        self.assertEqual(ground.wait_for_version("c1", 2)["document"], document(4.0))
         self.accepted(ground.write("c1", 2, document(5.0)), 3)
         self.settled(ground, 3)
         histories = self.histories(ground)
@@ -407,17 +407,17 @@
         # With its disk it starts as ever; without, it is no first start, for the others have seen its votes.
         ground.end("c1")
         ground.start("c1", new=True)
-        ground.voting("c1")
+        ground.wait_until_voting("c1")
         ground.end("c1")
-        ground.put_store("c1", None)
+        ground.replace_store("c1", None)
         ground.end("c0")
         ground.start("c1", new=True)
-        ground.programs["c1"].says("recovering, version 0")
+        ground.programs["c1"].wait_for_line("recovering, version 0")
         refused = ground.write("c2", 1, document(4.0))
         self.assertEqual((refused.status, refused.body["error"]), (503, "no_majority"), refused)
         self.assertFalse([line for line in ground.programs["c1"].lines if ": voting" in line])
         ground.start("c0", new=True)
-        ground.voting("c0", "c1")
+        ground.wait_until_voting("c0", "c1")
         self.settled(ground, 1)
         self.accepted(ground.write("c1", 1, document(4.0)), 2)
         self.settled(ground, 2)
@@ -430,10 +430,10 @@
         self.settled(ground, 2)
         for name in ("c1", "c2"):
             ground.end(name)
-            ground.put_store(name, None)
+            ground.replace_store(name, None)
         ground.start("c1", "c2")
         for name in ("c1", "c2"):
-            ground.holds(name, 2)  # it can tell them, but not make a majority with them
+            ground.wait_for_version(name, 2)  # it can tell them, but not make a majority with them
         refused = ground.write("c0", 2, document(5.0))
         self.assertEqual((refused.status, refused.body["error"]), (503, "no_majority"), refused)
         for name in ("c1", "c2"):
@@ -442,8 +442,8 @@
         self.assertEqual((status, newest), (0, document(4.0) + "\n"))
         for name in NAMES:
             ground.end(name, signal.SIGTERM)
-            ground.put_store(name, None)
-        ground.begin()
+            ground.replace_store(name, None)
+        ground.start_all()
         for number in range(3):
             status, out, err = self.config("push", "-", "--wait=0", *self.at(ground), stdin=newest)
             self.assertIn(f"version {number + 1} accepted", out, err)
@@ -455,18 +455,18 @@
         self.settled(ground, 1)
         ground.end("c0", signal.SIGTERM)
         ground.start("c0", stop_at="write 2 full")
-        ground.voting("c0")
+        ground.wait_until_voting("c0")
         full = ground.programs["c0"]
         refused = ground.write("c0", 1, document(4.0))
         self.assertEqual((refused.status, refused.body["error"]), (503, "disk"), refused)
         self.assertIn("No space left on device", refused.body["text"])
-        full.says("disk: can't be written: .*No space left on device")
+        full.wait_for_line("disk: can't be written: .*No space left on device")
         self.assertEqual(ground.call("c0", "GET", "/configuration").body["number"], 1)
         self.accepted(ground.write("c1", 1, document(4.0)), 2)
-        ground.holds("c2", 2)
+        ground.wait_for_version("c2", 2)
         self.assertEqual(ground.call("c0", "GET", "/configuration").body["number"], 1)
         ground.room.touch()
-        full.says("disk: written again")
+        full.wait_for_line("disk: written again")
         self.settled(ground, 2)
         self.accepted(ground.write("c0", 2, document(5.0)), 3)
         self.settled(ground, 3)
@@ -480,7 +480,7 @@
                 ground.end("c0", signal.SIGTERM)
                 ground.room.unlink(missing_ok=True)
                 ground.start("c0", stop_at=f"write {count} full")
-                ground.voting("c0")
+                ground.wait_until_voting("c0")
                 begun = time.monotonic()
                 reply = ground.write("c0", number, document(10.0 + number))
                 self.assertLess(time.monotonic() - begun, PROMPT)
@@ -503,11 +503,11 @@
         self.settled(ground, 1)
         ground.end("c0", signal.SIGTERM)
         ground.start("c0", stop_at="write 1 full")
-        ground.programs["c0"].says("disk: can't be written")
+        ground.programs["c0"].wait_for_line("disk: can't be written")
         self.assertEqual(ground.call("c0", "GET", "/configuration").body["number"], 1)
         self.assertEqual(ground.write("c0", 1, document(4.0)).status, 503)
         ground.room.touch()
-        ground.voting("c0")
+        ground.wait_until_voting("c0")
         self.accepted(ground.write("c0", 1, document(4.0)), 2)
         self.settled(ground, 2)
 
@@ -517,7 +517,7 @@
         self.settled(ground, 1)
         ground.end("c0", signal.SIGTERM)
         ground.start("c0", stop_at="write 2 hang")
-        ground.voting("c0")
+        ground.wait_until_voting("c0")
         got: list[Reply] = []
         writer = threading.Thread(
             target=lambda: got.append(ground.write("c0", 1, document(4.0))), daemon=True
@@ -539,7 +539,7 @@
     def test_more_watches_than_descriptors(self) -> None:
         ground = self.ground()
         ground.start(*NAMES, new=True, files=80)
-        ground.voting(*NAMES)
+        ground.wait_until_voting(*NAMES)
         ask = b"GET /configuration?after=0&wait_ms=20000&node=n%d HTTP/1.1\r\nHost: c\r\n\r\n"
         with contextlib.ExitStack() as stack:
             lines = []
@@ -548,7 +548,7 @@
                 stack.enter_context(line)
                 line.sendall(ask % number)
                 lines.append(line)
-                ground.until(lambda n=number: len(ground.status("c0")["nodes"]) > n, "it watches")  # type: ignore[misc]
+                ground.wait_until(lambda n=number: len(ground.status("c0")["nodes"]) > n, "it watches")  # type: ignore[misc]
             self.accepted(ground.write("c0", 0, document(3.0)), 1)
             self.settled(ground, 1)
             self.accepted(ground.write("c1", 1, document(4.0)), 2)
@@ -559,7 +559,7 @@
                     told += b'"document"' in line.recv(65536)
             self.assertGreater(told, 5)
         ground.programs["c0"].process.send_signal(signal.SIGUSR1)
-        counters = ground.programs["c0"].says("counters (.*)")[1]
+        counters = ground.programs["c0"].wait_for_line("counters (.*)")[1]
         self.assertRegex(counters, r"\bwatches_cut=\d\d")
         self.settled(ground, 2)
 
@@ -573,7 +573,7 @@
         self.assertTrue(55_000 < len(text) < 64 * 1024)
         self.accepted(ground.write("c0", 0, text), 1)
         for name in NAMES:
-            self.assertEqual(ground.holds(name, 1)["document"], text)
+            self.assertEqual(ground.wait_for_version(name, 1)["document"], text)
         padded = document(4.0, settings).ljust(64 * 1024)
         self.accepted(ground.write("c1", 1, padded), 2)
         cases: list[tuple[Reply, int, str]] = [
@@ -675,10 +675,10 @@
         self.assertLess(time.monotonic() - begun, PROMPT)
         self.assertEqual(ground.status("c0")["state"], "recovering")
         ground.programs["c0"].process.send_signal(signal.SIGUSR1)
-        counters = ground.programs["c0"].says("counters (.*)")[1]
+        counters = ground.programs["c0"].wait_for_line("counters (.*)")[1]
         self.assertRegex(counters, r"answer_404=2\b")
         self.assertEqual(ground.end("c0", signal.SIGTERM), 0)
-        self.assertEqual(ground.faults(), [])
+        self.assertEqual(ground.fault_lines(), [])
 
     def test_requests_that_come_together_are_answered_in_turn(self) -> None:
         ground = self.begun()
@@ -701,7 +701,7 @@
 
         thread = threading.Thread(target=watch, daemon=True)
         thread.start()
-        ground.until(lambda: bool(ground.status("c0")["nodes"]), "the watch is open")
+        ground.wait_until(lambda: bool(ground.status("c0")["nodes"]), "the watch is open")
         self.assertEqual(ground.end("c0", signal.SIGTERM), 0)
         thread.join(PROMPT)
         self.assertEqual(got, [(200, {"number": 0, "digest": ""})])
@@ -773,7 +773,7 @@
         self.assertEqual(err, "violetsaddle: version 1 is accepted, but not in force everywhere\n")
         nodes = [Node(ground, f"n{n}", NAMES[n % 3]) for n in range(4)]
         with self.nodes(ground, *nodes):
-            ground.until(lambda: all(node.number == 1 for node in nodes), "all nodes run 1")
+            ground.wait_until(lambda: all(node.number == 1 for node in nodes), "all nodes run 1")
             status, out, err = self.config("push", "-", "--author=ann", *self.at(ground), stdin=document(4.0))
             self.assertEqual((status, err), (0, ""), out)
             self.assertRegex(out, r"(?m)^version 2 accepted by c\d, digest [0-9a-f]{32}$")
@@ -810,7 +810,7 @@
         ]
         with self.nodes(ground, *nodes):
             for name in NAMES:
-                ground.until(lambda name=name: bool(ground.status(name)["nodes"]), "a node is heard")  # type: ignore[misc]
+                ground.wait_until(lambda name=name: bool(ground.status(name)["nodes"]), "a node is heard")  # type: ignore[misc]
             status, out, err = self.config("push", str(file), "--wait=2", *self.at(ground))
         self.assertEqual(status, 1, (out, err))
         self.assertIn("runs it: n0\n", out)
@@ -873,14 +873,14 @@
         writer = Program([*command, "--base=0", way[0]], {})
         self.addCleanup(writer.end)
         # Its first question, of the status, gets no answer either, so that it gives up by itself.
-        self.assertEqual(writer.ended(), 1)
+        self.assertEqual(writer.wait_for_exit(), 1)
         self.assertEqual(ground.status("c1")["number"], 0)
         before.set()
         threading.Thread(target=self.block_answers, args=(ground, before), daemon=True).start()
         writer = Program([*command, *way], {})
         self.addCleanup(writer.end)
         for name in NAMES:
-            ground.holds(name, 1)
+            ground.wait_for_version(name, 1)
         writer.end()
         self.settled(ground, 1)
         # The same again, by the same author after the same base, is the same write.
@@ -897,7 +897,7 @@
     def block_answers(self, ground: Replicas, before: Any) -> None:
         """From the status' answer on nothing comes back through this relay."""
         with contextlib.suppress(AssertionError):
-            ground.until(lambda: before.passed > 300 and not before.ends, "the status was asked")
+            ground.wait_until(lambda: before.passed > 300 and not before.ends, "the status was asked")
             before.set(drop_back=True)
 
     def test_a_writer_goes_on_at_the_next_replica(self) -> None:
@@ -923,7 +923,7 @@
             return real(address, method, *args)
 
         def cut() -> None:
-            ground.holds("c1", 1)
+            ground.wait_for_version("c1", 1)
             before.reset()
 
         with mock.patch.object(client, "call", call):
