--- a/tests/test_configuration_trouble.py
+++ b/tests/test_configuration_trouble.py
@@ -23,7 +23,7 @@
 from tests.replicas import NAMES, Replicas
 from tests.scenario import PATIENCE, SETTINGS, Scenario
 from tests.test_configuration_node import BOUND, TIER, Tier, document
-from violetsaddle.decide.document import MOST_BYTES, baseline_of, digest
+from violetsaddle.decide.document import MAX_DOCUMENT_BYTES, baseline_of, digest
 from violetsaddle.decide.memory import Memory
 from violetsaddle.lab.live.children import TREE
 from violetsaddle.net.configuration import unpacked
@@ -378,7 +378,7 @@
             for tenant in table["tenants"]:
                 tenant["share"] = share
             text = json.dumps(table, ensure_ascii=False)
-            self.assertTrue(60_000 <= len(text.encode()) <= MOST_BYTES, len(text.encode()))
+            self.assertTrue(60_000 <= len(text.encode()) <= MAX_DOCUMENT_BYTES, len(text.encode()))
             self.in_force(number, self.accept(NAMES[number], number - 1, text))
             for name in NAMES:
                 self.assertEqual(self.replicas.holds(name, number)["document"], text)
--- a/violetsaddle/cli/config.py
+++ b/violetsaddle/cli/config.py
@@ -13,7 +13,7 @@
 import click
 
 from violetsaddle.control import client
-from violetsaddle.decide.document import MOST_BYTES
+from violetsaddle.decide.document import MAX_DOCUMENT_BYTES
 
 replica = click.option(
     "--replica",
@@ -103,10 +103,10 @@
             client.endpoint(address)
         try:
             if file == "-":
-                data = sys.stdin.buffer.read(MOST_BYTES + 1)
+                data = sys.stdin.buffer.read(MAX_DOCUMENT_BYTES + 1)
             else:
                 with open(file, "rb") as opened:
-                    data = opened.read(MOST_BYTES + 1)
+                    data = opened.read(MAX_DOCUMENT_BYTES + 1)
         except (OSError, ValueError) as error:
             raise client.InputError(f"{file}: {getattr(error, 'strerror', None) or error}") from None
         document = client.checked(data)
--- a/violetsaddle/control/client.py
+++ b/violetsaddle/control/client.py
@@ -10,7 +10,7 @@
 from dataclasses import dataclass, field
 from typing import Any, NamedTuple
 
-from violetsaddle.decide.document import MOST_BYTES, digest
+from violetsaddle.decide.document import MAX_DOCUMENT_BYTES, digest
 
 ASK = 2.0  # seconds for an answer at once
 WRITE = 10.0  # seconds for a write's
@@ -163,8 +163,8 @@
 
 def checked(data: bytes) -> str:
     """A document's text; raises `InputError` where it is no JSON object or too long."""
-    if len(data) > MOST_BYTES:
-        raise InputError(f"the document is longer than {MOST_BYTES} bytes: {len(data)}")
+    if len(data) > MAX_DOCUMENT_BYTES:
+        raise InputError(f"the document is longer than {MAX_DOCUMENT_BYTES} bytes: {len(data)}")
     try:
         text = data.decode("utf-8")
         read = json.loads(text, parse_constant=_constant)
--- a/violetsaddle/control/server.py
+++ b/violetsaddle/control/server.py
@@ -15,7 +15,7 @@
 from twisted.python.failure import Failure
 
 from violetsaddle.control.node_registry import Node, NodeRegistry
-from violetsaddle.decide.document import MOST_BYTES
+from violetsaddle.decide.document import MAX_DOCUMENT_BYTES
 from violetsaddle.net import http
 from violetsaddle.net.counters import Counters
 from violetsaddle.net.deadlines import Deadline, Deadlines, Patience, Transport
@@ -426,8 +426,8 @@
             write = msgspec.json.decode(body, type=Write)
         except (msgspec.DecodeError, ValueError, RecursionError) as error:
             raise BadRequestError(400, "json", f"not a version to write: {error}"[:300]) from None
-        if len(write.document.encode("utf-8", "surrogatepass")) > MOST_BYTES:
-            raise BadRequestError(413, "long", f"the document is longer than {MOST_BYTES} bytes")
+        if len(write.document.encode("utf-8", "surrogatepass")) > MAX_DOCUMENT_BYTES:
+            raise BadRequestError(413, "long", f"the document is longer than {MAX_DOCUMENT_BYTES} bytes")
         if not 0 <= write.base <= MOST_NUMBER:
             raise BadRequestError(400, "json", f"base: expected a whole number from 0 to {MOST_NUMBER}")
         if not write.author or len(write.author) > MOST_NAME or not write.author.isprintable():
--- a/violetsaddle/decide/document.py
+++ b/violetsaddle/decide/document.py
@@ -1,8 +1,9 @@
-"""What a document of the nodes' configuration may change, and the checks on it: all of it or none.
+"""Validates configuration documents, which replace the settings of running nodes.
 
-A document is the JSON text of the nodes' `settings` without the keys that differ by node (`NODE_KEYS`).  It
-is checked against the baseline, the settings that the nodes started with: everything must be equal but for
-the keys of `CHANGEABLE`, whose values are checked for type and range.  Times are microseconds."""
+A document is the JSON text of the nodes' `settings` without the keys that differ between nodes (`NODE_KEYS`).
+It is validated against the baseline, the settings that the nodes started with.  Only the keys in `CHANGEABLE`
+may differ from the baseline, and their values are checked for type and range.  A document is accepted or
+refused as a whole.  Times are in microseconds."""
 
 from __future__ import annotations
 
@@ -12,97 +13,114 @@
 from typing import Any, NamedTuple, TypeAlias
 
 try:
-    from _blake2 import blake2b  # hashlib's own; hashlib itself loads OpenSSL
+    from _blake2 import blake2b  # the implementation that hashlib uses; importing hashlib would load OpenSSL
 except ImportError:
     from hashlib import blake2b
 
-MOST_BYTES = 65_536  # of a document in UTF-8
+MAX_DOCUMENT_BYTES = 65_536  # encoded as UTF-8
 NODE_KEYS = ("ordinal", "zone")
-MOST = 10**15  # of any number: a time of 31 years, exact as a float
-MISSING: Any = object()
+MAX_NUMBER = 10**15  # largest magnitude of any number: 31 years in microseconds, and exact as a float
+MISSING: Any = object()  # stands for a value that the baseline does not have
 
 
 class DocumentError(ValueError):
-    """A document is refused.  `key`: what is wrong, as `requestClasses[1].deadline`, "" for the whole text;
-    `expected`: what should be there.  The text is one line of both."""
+    """Raised when a document is refused.
+
+    `key` is the path of the invalid key, such as `requestClasses[1].deadline`, or "" if the whole text is
+    invalid.  `expected` describes a valid value.  The message is one line with both."""
 
     def __init__(self, key: str, expected: str) -> None:
-        """`key` is cut to 120 characters and made printable."""
+        """Truncates `key` to 120 characters and escapes unprintable ones."""
         self.key = "".join(c if c.isprintable() else ascii(c)[1:-1] for c in key[:120])
         self.expected = expected
         super().__init__(f"{self.key}: expected {expected}" if key else f"expected {expected}")
 
 
-class Kind(NamedTuple):
-    """What a value must be: in words, and whether one is."""
+class ValueType(NamedTuple):
+    """A type and range of values: a description for error messages, and a predicate."""
 
-    words: str
-    fits: Callable[[Any], bool]
+    description: str
+    accepts: Callable[[Any], bool]
 
 
-def _number(value: Any) -> bool:
-    return isinstance(value, (int, float)) and not isinstance(value, bool) and -MOST <= value <= MOST
+def _is_number(value: Any) -> bool:
+    return (
+        isinstance(value, (int, float)) and not isinstance(value, bool) and -MAX_NUMBER <= value <= MAX_NUMBER
+    )
 
 
-def _whole(value: Any) -> bool:
-    return _number(value) and value == math.floor(value)
+def _is_whole_number(value: Any) -> bool:
+    return _is_number(value) and value == math.floor(value)
 
 
-NUMBER = Kind("a number from 0 to 1e15", lambda v: _number(v) and v >= 0)
-PART = Kind("a number from 0 to 1", lambda v: _number(v) and 0 <= v <= 1)
-TIME = Kind("a whole number from 0 to 1e15", lambda v: _whole(v) and v >= 0)
-COUNT = Kind("a whole number from 1 to 1e15", lambda v: _whole(v) and v >= 1)
-FLAG = Kind("true or false", lambda v: isinstance(v, bool))
-STRETCHES = Kind(
+NON_NEGATIVE_NUMBER = ValueType("a number from 0 to 1e15", lambda value: _is_number(value) and value >= 0)
+FRACTION = ValueType("a number from 0 to 1", lambda value: _is_number(value) and 0 <= value <= 1)
+NON_NEGATIVE_INTEGER = ValueType(
+    "a whole number from 0 to 1e15", lambda value: _is_whole_number(value) and value >= 0
+)
+POSITIVE_INTEGER = ValueType(
+    "a whole number from 1 to 1e15", lambda value: _is_whole_number(value) and value >= 1
+)
+BOOLEAN = ValueType("true or false", lambda value: isinstance(value, bool))
+NUMBER_LIST = ValueType(
     "a list of numbers from 0 to 1e15",
-    lambda v: isinstance(v, list) and all(_number(item) and item >= 0 for item in v),
+    lambda value: isinstance(value, list) and all(_is_number(item) and item >= 0 for item in value),
 )
 
-Rule: TypeAlias = "Kind | Mapping[str, Rule] | list[Rule] | None"
-# A table of rules for a table, a list of one rule for a list whose items each keep to it.  "*" is the rule of
-# whatever else the baseline holds there; what has no rule is fixed.
+Rule: TypeAlias = "ValueType | Mapping[str, Rule] | list[Rule] | None"
+# A mapping holds the rules for the keys of an object.  A list holds one rule, which applies to each item of a
+# list.  "*" is the rule for all other keys that the baseline has there.  A key without a rule is fixed.
 CHANGEABLE: Mapping[str, Rule] = {
-    "tenants": [{"share": NUMBER, "allowancePerS": NUMBER}],
-    "requestClasses": [{"value": NUMBER, "target": COUNT, "aimStretch": NUMBER, "lateWorth": PART}],
-    "familyInfo": {"classStretch": STRETCHES},
+    "tenants": [{"share": NON_NEGATIVE_NUMBER, "allowancePerS": NON_NEGATIVE_NUMBER}],
+    "requestClasses": [
+        {
+            "value": NON_NEGATIVE_NUMBER,
+            "target": POSITIVE_INTEGER,
+            "aimStretch": NON_NEGATIVE_NUMBER,
+            "lateWorth": FRACTION,
+        }
+    ],
+    "familyInfo": {"classStretch": NUMBER_LIST},
     "tariffs": {
-        **dict.fromkeys(("connection", "crossZone", "discovery", "fleet", "handshake", "lateFail"), NUMBER),
-        **dict.fromkeys(("moves", "origin", "peer", "probe", "waste", "*"), NUMBER),
+        **dict.fromkeys(
+            ("connection", "crossZone", "discovery", "fleet", "handshake", "lateFail"), NON_NEGATIVE_NUMBER
+        ),
+        **dict.fromkeys(("moves", "origin", "peer", "probe", "waste", "*"), NON_NEGATIVE_NUMBER),
     },
-    "overShareWorth": PART,
-    "goal": dict.fromkeys(("whole", "worstClass", "worstTenant", "worstWindow", "*"), NUMBER),
+    "overShareWorth": FRACTION,
+    "goal": dict.fromkeys(("whole", "worstClass", "worstTenant", "worstWindow", "*"), NON_NEGATIVE_NUMBER),
     "permissions": {
-        "cancel": FLAG,
-        "mayProbe": FLAG,
-        "retryAfter": FLAG,
-        "maxRetryAfter": TIME,
-        "mostTries": COUNT,
-        "secondCopies": FLAG,
-        "openCap": COUNT,
-        "cpuUsPerRequest": NUMBER,
-        "cpuUsPerS": NUMBER,
+        "cancel": BOOLEAN,
+        "mayProbe": BOOLEAN,
+        "retryAfter": BOOLEAN,
+        "maxRetryAfter": NON_NEGATIVE_INTEGER,
+        "mostTries": POSITIVE_INTEGER,
+        "secondCopies": BOOLEAN,
+        "openCap": POSITIVE_INTEGER,
+        "cpuUsPerRequest": NON_NEGATIVE_NUMBER,
+        "cpuUsPerS": NON_NEGATIVE_NUMBER,
     },
 }
 
 
 def digest(document: str) -> str:
-    """32 hexadecimal digits."""
+    """Returns the digest of a document: 32 hexadecimal digits."""
     return blake2b(document.encode("utf-8", "surrogatepass"), digest_size=16).hexdigest()
 
 
 def baseline_of(settings: Mapping[str, Any]) -> dict[str, Any]:
-    """A node's settings without what differs by node: version 0."""
+    """Returns a node's settings without the keys that differ between nodes.  They are version 0."""
     return {key: value for key, value in settings.items() if key not in NODE_KEYS}
 
 
 def for_node(document: str, ordinal: int, zone: int) -> dict[str, Any]:
-    """The settings of one node, from a document that `check` has let through."""
+    """Returns the settings of one node, given a document that `check` has accepted."""
     return {**json.loads(document), "ordinal": ordinal, "zone": zone}
 
 
 def changes(old: Any, new: Any, path: str = "") -> list[str]:
-    """What differs between two documents' settings, as `permissions.mostTries 3 -> 2`."""
-    if _same(old, new):
+    """Lists the differences between two documents' settings, such as `permissions.mostTries 3 -> 2`."""
+    if _json_equal(old, new):
         return []
     if isinstance(old, dict) and isinstance(new, dict):
         keys = [*old, *(key for key in new if key not in old)]
@@ -115,22 +133,22 @@
 
 
 def check(baseline: Mapping[str, Any], document: str) -> dict[str, Any]:
-    """The document's settings; raises `DocumentError`, which names the first key that is wrong."""
-    old, new = baseline_of(baseline), _parsed(document)
-    _walk("", CHANGEABLE, old, new)
-    _together(old, new)
+    """Returns the document's settings.  Raises `DocumentError`, which names the first invalid key."""
+    old, new = baseline_of(baseline), _parse(document)
+    _check_value("", CHANGEABLE, old, new)
+    _check_related_values(old, new)
     return new
 
 
-def _parsed(document: str) -> dict[str, Any]:
+def _parse(document: str) -> dict[str, Any]:
     try:
         size = len(document.encode("utf-8"))
     except UnicodeEncodeError:
         raise DocumentError("", "text that UTF-8 can hold") from None
-    if size > MOST_BYTES:
-        raise DocumentError("", f"at most {MOST_BYTES} bytes, not {size}")
+    if size > MAX_DOCUMENT_BYTES:
+        raise DocumentError("", f"at most {MAX_DOCUMENT_BYTES} bytes, not {size}")
     try:
-        value = json.loads(document, object_pairs_hook=_once, parse_constant=_no_constant)
+        value = json.loads(document, object_pairs_hook=_reject_repeated_keys, parse_constant=_reject_constant)
     except DocumentError:
         raise
     except RecursionError:
@@ -142,8 +160,8 @@
     return value
 
 
-def _once(pairs: list[tuple[str, Any]]) -> dict[str, Any]:
-    """Of a key given twice a reader would take the first or the last."""
+def _reject_repeated_keys(pairs: list[tuple[str, Any]]) -> dict[str, Any]:
+    """Builds an object.  Repeated keys are refused: some parsers keep the first value, others the last."""
     table = dict(pairs)
     if len(table) < len(pairs):
         names = [key for key, _ in pairs]
@@ -151,64 +169,66 @@
     return table
 
 
-def _no_constant(name: str) -> Any:
+def _reject_constant(name: str) -> Any:
     raise DocumentError("", f"JSON, which has no {name}")
 
 
-def _walk(path: str, rule: Rule, old: Any, new: Any) -> None:
-    """`old`: the baseline's value, `MISSING` where it has none."""
-    if _same(old, new):
+def _check_value(path: str, rule: Rule, old: Any, new: Any) -> None:
+    """Compares `new` with the baseline's value `old`, which is `MISSING` if the baseline has none."""
+    if _json_equal(old, new):
         return
-    if isinstance(rule, Kind):
-        if not rule.fits(new):
-            raise DocumentError(path, rule.words)
+    if isinstance(rule, ValueType):
+        if not rule.accepts(new):
+            raise DocumentError(path, rule.description)
     elif isinstance(old, dict) or (isinstance(rule, Mapping) and old is MISSING):
         if not isinstance(new, dict):
             raise DocumentError(path, "a table")
-        _table(path, rule if isinstance(rule, Mapping) else {}, {} if old is MISSING else old, new)
+        _check_object(path, rule if isinstance(rule, Mapping) else {}, {} if old is MISSING else old, new)
     elif isinstance(old, list):
         if not isinstance(new, list) or len(new) != len(old):
             raise DocumentError(path, f"a list of {len(old)} as in the baseline")
         for index, (before, after) in enumerate(zip(old, new)):
-            _walk(f"{path}[{index}]", rule[0] if isinstance(rule, list) else None, before, after)
+            _check_value(f"{path}[{index}]", rule[0] if isinstance(rule, list) else None, before, after)
     elif old is MISSING:
         raise DocumentError(path, "no such key: the baseline does not have it")
     else:
         raise DocumentError(path, "the same as in the baseline: it can't be changed while nodes run")
 
 
-def _table(path: str, rule: Mapping[str, Rule], old: dict[str, Any], new: dict[str, Any]) -> None:
+def _check_object(path: str, rule: Mapping[str, Rule], old: dict[str, Any], new: dict[str, Any]) -> None:
     for key, value in new.items():
-        own = rule.get(key) if key != "*" else None
-        if own is None and key in old:
-            own = rule.get("*")
-        _walk(f"{path}.{key}" if path else key, own, old.get(key, MISSING), value)
+        key_rule = rule.get(key) if key != "*" else None
+        if key_rule is None and key in old:
+            key_rule = rule.get("*")
+        _check_value(f"{path}.{key}" if path else key, key_rule, old.get(key, MISSING), value)
     for key in old:
         if key not in new:
             raise DocumentError(f"{path}.{key}" if path else key, "a value: the baseline has one")
 
 
-def _same(old: Any, new: Any) -> bool:
-    """Equal as JSON: 1 and 1.0 are, 1 and true are not."""
+def _json_equal(old: Any, new: Any) -> bool:
+    """Whether two values are equal as JSON: 1 equals 1.0, but not true."""
     if isinstance(old, dict) and isinstance(new, dict):
-        return old.keys() == new.keys() and all(_same(old[key], new[key]) for key in old)
+        return old.keys() == new.keys() and all(_json_equal(old[key], new[key]) for key in old)
     if isinstance(old, list) and isinstance(new, list):
-        return len(old) == len(new) and all(map(_same, old, new))
+        return len(old) == len(new) and all(map(_json_equal, old, new))
     return isinstance(old, bool) == isinstance(new, bool) and bool(old == new)
 
 
-def _together(old: dict[str, Any], new: dict[str, Any]) -> None:
-    """What values must be beside each other."""
+def _check_related_values(old: dict[str, Any], new: dict[str, Any]) -> None:
+    """Checks the constraints between several values."""
     classes = new.get("requestClasses") or []
     for index, (before, after) in enumerate(zip(old.get("requestClasses") or [], classes)):
         target, deadline = after.get("target"), after.get("deadline")
-        if not _same(before.get("target"), target) and _number(deadline) and target > deadline:
+        if not _json_equal(before.get("target"), target) and _is_number(deadline) and target > deadline:
             raise DocumentError(f"requestClasses[{index}].target", f"at most the deadline, {deadline}")
     stretches = (new.get("familyInfo") or {}).get("classStretch")
-    if stretches is not None and not _same((old.get("familyInfo") or {}).get("classStretch"), stretches):
+    if stretches is not None and not _json_equal(
+        (old.get("familyInfo") or {}).get("classStretch"), stretches
+    ):
         if len(stretches) != len(classes):
             raise DocumentError("familyInfo.classStretch", f"a number for each of {len(classes)} classes")
     tenants = new.get("tenants") or []
-    if not _same(old.get("tenants") or [], tenants):
+    if not _json_equal(old.get("tenants") or [], tenants):
         if not sum(tenant.get("share", 1.0) for tenant in tenants) > 0:
             raise DocumentError("tenants", "a share above 0 for one of them")
