--- a/violetsaddle/decide/subscription.py
+++ b/violetsaddle/decide/subscription.py
@@ -1,19 +1,23 @@
-"""When a node asks which replica for a newer configuration, and what it makes of the answers.
-
-Pure: `step(state, rules, word, now, random, number)` gives the next state and what is to be done; no I/O, no
-clock.  One call is out at most.  `TABLE` holds every transition; what it does not hold changes nothing.
-
-- A node asks one replica at a time, which may hold the call until there is a newer version.  After an error,
-  a silence or an answer that is older than what the node holds it asks the next at once, and if that fails
-  too backs off from 0.1 to 1 s.  A replica that failed is passed over for a while if another is left.
-- After a call that brought nothing the next replica has its turn: one that is cut off from the others does
-  not know that it is behind, and would keep its nodes there.
-- A node that hears from another node of a newer version asks the next replica, after a random wait so that
-  the nodes of a large tier do not ask together; the replicas are asked for an answer at once, each in turn.
-- A version is applied only if its number is above every number seen before.  One that this node can't take is
-  seen, and calls go on after the one in force: a replica is told of both.
-
-Times are microseconds.  The datagrams in which nodes tell each other their version are encoded here too."""
+"""State machine of a node's subscription: when it polls which replica for a newer configuration version.
+
+`step(state, rules, event_type, now, random, number)` is a pure function.  It returns the next state and the
+actions to take, and does no I/O.  At most one poll is in flight.  `TRANSITIONS` holds every transition; an
+event without an entry for the current phase changes nothing.
+
+- A node polls one replica at a time.  The replica may hold the poll until there is a newer version.  After an
+  error, a timeout or an answer that is older than what the node has, the node polls the next replica at once.
+  If that fails too, it backs off from 0.1 to 1 s.  A replica that failed is skipped for a while, unless all
+  others failed too.
+- After a poll that brought no new version, the node polls the next replica.  A replica that is partitioned
+  from the others does not know that it is behind, and would keep its nodes behind as well.
+- When another node advertises a newer version, the node polls the next replica after a random delay, so that
+  the nodes of a large tier do not poll at the same moment.  These polls ask each replica in turn for an
+  immediate answer.
+- A version is applied only if its number is above every number seen before.  A version that this node can't
+  use counts as seen.  Later polls still ask for versions after the one in force, and tell the replica about
+  the refused one.
+
+Times are in microseconds.  The datagrams in which nodes advertise their version are encoded here too."""
 
 from __future__ import annotations
 
@@ -24,42 +28,46 @@
 
 MS = 1_000
 SECOND = 1_000 * MS
-PAUSE = 100 * MS  # at most, after an answer; drawn
-BACK_OFF, MOST_BACK_OFF = 100 * MS, SECOND  # doubled by each failure in a row after the second
-QUICK = SECOND  # after a call that might have been held and was not, as by a replica that has no room
-AGAIN = 2 * SECOND  # after an answer with a version that was refused before
-PASSED_OVER = 20 * SECOND  # a replica that failed, while another is left
-HEAR_EACH, HEAR_MOST = 8 * MS, 2 * SECOND  # wait before asking on another node's word: for each node, at most
-MOST_FAILURES = 8  # counted; what more there are changes nothing
-MOST_NUMBER = 0xFFFFFFFF
-
-MAGIC = 0x43  # older programs pass such a datagram over: their own begin with 0, 1 or bit 7
-DATAGRAM = Struct(">BI8s")  # magic, number, first bytes of the digest: 13 bytes, 1 modulo 3 (0xD7's are 2)
+MAX_PAUSE = 100 * MS  # after an answer; the pause is random
+INITIAL_BACKOFF = 100 * MS  # after the second failure in a row; doubles with each further one
+MAX_BACKOFF = SECOND
+EARLY_ANSWER_PAUSE = SECOND  # after a poll that a replica did not hold, for example because it has no room
+REFUSED_VERSION_PAUSE = 2 * SECOND  # after an answer with a version that was refused before
+FAILED_REPLICA_COOLDOWN = 20 * SECOND  # how long a failed replica is skipped while another is available
+ADVERTISED_DELAY_PER_NODE = 8 * MS  # times the nodes of the tier: the longest delay after an advertisement
+MAX_ADVERTISED_DELAY = 2 * SECOND
+MAX_FAILURES = 8  # where counting stops: more failures change nothing
+MAX_VERSION_NUMBER = 0xFFFFFFFF
+
+# Older releases ignore datagrams with this first byte: their own start with 0, 1 or a set bit 7.
+MAGIC = 0x43
+# Magic, number, first bytes of the digest: 13 bytes, 1 modulo 3.  Datagrams with 0xD7 have 2 modulo 3.
+DATAGRAM = Struct(">BI8s")
 
 
 class Phase(enum.Enum):
-    """What a node waits for."""
+    """What a subscription waits for."""
 
-    RESTING = "resting"  # no call is out
-    WATCHING = "watching"  # one is out that the replica may hold
-    ASKING = "asking"  # one is out that is to be answered at once
+    IDLE = "idle"  # no poll is in flight
+    LONG_POLL = "long poll"  # a poll is in flight, and the replica may hold it
+    SHORT_POLL = "short poll"  # a poll is in flight that the replica answers immediately
     STOPPED = "stopped"
 
 
-class Word(enum.Enum):
-    """What happens to a subscription."""
+class EventType(enum.Enum):
+    """The events of a subscription."""
 
-    WAKE = "the time `State.due` has come"
-    NEWER = "an answer with a version that is fit"
-    UNFIT = "an answer with a version that this node can't take"
-    ANSWERED = "an answer without a version; its number is the replica's"
-    FAILED = "an error, a silence, or what is no answer"
-    HEARD = "another node's word of its version"
-    STOP = "the node ends"
+    DUE = "`State.due` has passed"
+    NEW_VERSION = "an answer with a version that this node can use"
+    UNUSABLE_VERSION = "an answer with a version that this node can't use"
+    NO_VERSION = "an answer without a version; the number is the replica's newest"
+    FAILED = "an error, a timeout or an invalid answer"
+    ADVERTISED = "another node advertises its version"
+    STOP = "the node stops"
 
 
 class Rules(NamedTuple):
-    """replicas: how many; nodes: of the tier; hold: how long a replica may hold a call."""
+    """The number of replicas, the number of nodes in the tier, and how long a replica may hold a poll."""
 
     replicas: int
     nodes: int
@@ -67,22 +75,23 @@
 
 
 class State(NamedTuple):
-    """Of one node's subscription; a value."""
+    """Immutable state of one node's subscription."""
 
     phase: Phase
     number: int  # of the version in force
-    seen: int  # the highest number that was taken or refused
-    replica: int  # asked, or to be asked next
-    due: int  # when `WAKE` is to come; 0: never
-    failures: int = 0  # calls in a row that brought no answer, or an older one
-    hint: int = 0  # the highest number that another node told
-    passed_over: tuple[int, ...] = ()  # by replica: until when
-    since: int = 0  # when the call that is out was made
+    seen: int  # the highest number that was applied or refused
+    replica: int  # polled now, or next
+    due: int  # when the event `DUE` is wanted; 0: never
+    failures: int = 0  # polls in a row that brought no answer, or an older version
+    advertised: int = 0  # the highest number that another node has advertised
+    skipped_until: tuple[int, ...] = ()  # by replica
+    polled_at: int = 0  # when the poll in flight was sent
 
 
-class Ask(NamedTuple):
-    """A call for a version above `after`, the one in force; `hold`: the replica may hold it until there is
-    one."""
+class Poll(NamedTuple):
+    """A request for a version above `after`, the one in force.
+
+    With `hold` the replica may hold the request until there is one."""
 
     replica: int
     after: int
@@ -90,148 +99,149 @@
 
 
 class Step(NamedTuple):
-    """What is to be done, in that order: the call that is out is abandoned, the version of the answer is put
-    in force, a call is made."""
+    """The next state and the actions to take.
+
+    Their order: cancel the poll in flight, apply the version of the answer, send a poll."""
 
     state: State
-    abandon: bool = False
+    cancel_poll: bool = False
     apply: bool = False
-    ask: Ask | None = None
+    poll: Poll | None = None
 
 
-class Event(NamedTuple):
-    """What came with a word."""
+class EventData(NamedTuple):
+    """The data of an event."""
 
     now: int
-    random: float  # from 0 to below 1
-    number: int  # of `NEWER`, `UNFIT`, `ANSWERED` and `HEARD`
+    random: float  # at least 0 and below 1
+    number: int  # version number of `NEW_VERSION`, `UNUSABLE_VERSION`, `NO_VERSION` and `ADVERTISED`
 
 
-Transition: TypeAlias = Callable[[State, Rules, Event], Step]
+Transition: TypeAlias = Callable[[State, Rules, EventData], Step]
 
 
-def begin(rules: Rules, ordinal: int, number: int, now: int) -> State:
-    """`number`: of the version that the node begins with; its first call is due at once."""
+def initial_state(rules: Rules, ordinal: int, number: int, now: int) -> State:
+    """Returns the state of a node that starts with version `number`.  Its first poll is due immediately."""
     return State(
-        Phase.RESTING,
+        Phase.IDLE,
         number,
         number,
         ordinal % rules.replicas,
         max(1, now),
-        passed_over=(0,) * rules.replicas,
+        skipped_until=(0,) * rules.replicas,
     )
 
 
-def step(state: State, rules: Rules, word: Word, now: int, random: float, number: int = 0) -> Step:
-    """The next state, and what is to be done for it."""
-    transition = TABLE[state.phase].get(word)
-    return Step(state) if transition is None else transition(state, rules, Event(now, random, number))
+def step(state: State, rules: Rules, event_type: EventType, now: int, random: float, number: int = 0) -> Step:
+    """Returns the next state and the actions to take."""
+    transition = TRANSITIONS[state.phase].get(event_type)
+    return Step(state) if transition is None else transition(state, rules, EventData(now, random, number))
 
 
-def _next(state: State, rules: Rules, now: int) -> int:
-    """The replica after the present one, passing over those that failed lately if another is left."""
-    ring = [(state.replica + i) % rules.replicas for i in range(1, rules.replicas + 1)]
-    return next((replica for replica in ring if state.passed_over[replica] <= now), ring[0])
+def _next_replica(state: State, rules: Rules, now: int) -> int:
+    """Returns the next replica in turn, skipping recently failed ones unless all of them are."""
+    candidates = [(state.replica + i) % rules.replicas for i in range(1, rules.replicas + 1)]
+    return next((replica for replica in candidates if state.skipped_until[replica] <= now), candidates[0])
 
 
-def _ask(state: State, rules: Rules, event: Event) -> Step:
-    # Once each replica was asked in vain for what another node has, they may hold the calls: the first that
-    # has it answers, and a word that no replica can follow costs no more than usual.
-    hold = not (state.hint > state.seen and state.failures < rules.replicas)
-    phase = Phase.WATCHING if hold else Phase.ASKING
+def _poll(state: State, rules: Rules, event: EventData) -> Step:
+    # If no replica has the version that another node advertised, the next polls may be held again.  The first
+    # replica that gets the version answers, and a false advertisement causes no extra load.
+    hold = not (state.advertised > state.seen and state.failures < rules.replicas)
+    phase = Phase.LONG_POLL if hold else Phase.SHORT_POLL
     return Step(
-        state._replace(phase=phase, due=0, since=event.now), ask=Ask(state.replica, state.number, hold)
+        state._replace(phase=phase, due=0, polled_at=event.now), poll=Poll(state.replica, state.number, hold)
     )
 
 
-def _wake(state: State, rules: Rules, event: Event) -> Step:
+def _on_due(state: State, rules: Rules, event: EventData) -> Step:
     if not 0 < state.due <= event.now:
         return Step(state)
-    if state.phase is Phase.RESTING:
-        return _ask(state, rules, event)
-    # Another node has a newer version, and the replica that is watched does not tell of it.
-    if state.hint <= state.seen:
+    if state.phase is Phase.IDLE:
+        return _poll(state, rules, event)
+    # Another node has a newer version, and the polled replica has not sent it.
+    if state.advertised <= state.seen:
         return Step(state._replace(due=0))
-    state = state._replace(replica=_next(state, rules, event.now))
-    return _ask(state, rules, event)._replace(abandon=True)
+    state = state._replace(replica=_next_replica(state, rules, event.now))
+    return _poll(state, rules, event)._replace(cancel_poll=True)
 
 
-def _rest(state: State, wait: int, event: Event) -> Step:
-    return Step(state._replace(phase=Phase.RESTING, due=max(1, event.now + wait)))
+def _pause(state: State, wait: int, event: EventData) -> Step:
+    return Step(state._replace(phase=Phase.IDLE, due=max(1, event.now + wait)))
 
 
-def _failed(state: State, rules: Rules, event: Event) -> Step:
-    """The next replica, at once after the first failure."""
-    failures = min(MOST_FAILURES, state.failures + 1)
-    until = (*state.passed_over,)
-    until = (*until[: state.replica], event.now + PASSED_OVER, *until[state.replica + 1 :])
-    state = state._replace(failures=failures, passed_over=until)
-    state = state._replace(replica=_next(state, rules, event.now))
+def _on_failure(state: State, rules: Rules, event: EventData) -> Step:
+    """Moves on to the next replica, without a wait after the first failure."""
+    failures = min(MAX_FAILURES, state.failures + 1)
+    until = (*state.skipped_until,)
+    until = (*until[: state.replica], event.now + FAILED_REPLICA_COOLDOWN, *until[state.replica + 1 :])
+    state = state._replace(failures=failures, skipped_until=until)
+    state = state._replace(replica=_next_replica(state, rules, event.now))
     wait = 0
     if failures > 1:
-        wait = int(min(MOST_BACK_OFF, BACK_OFF << (failures - 2)) * (0.5 + event.random))
-    return _rest(state, wait, event)
+        wait = int(min(MAX_BACKOFF, INITIAL_BACKOFF << (failures - 2)) * (0.5 + event.random))
+    return _pause(state, wait, event)
 
 
-def _answered(state: State, rules: Rules, event: Event) -> Step:
-    # A higher number without its version is no answer.  An older one, or less than another node has, is of a
-    # replica that is behind.
-    if event.number != state.seen or state.hint > state.seen:
-        return _failed(state, rules, event)
-    until = (*state.passed_over[: state.replica], 0, *state.passed_over[state.replica + 1 :])
-    wait = int(PAUSE * event.random)
-    if state.phase is Phase.WATCHING and event.now - state.since < rules.hold // 2:
-        wait = int(QUICK * (0.5 + event.random))
-    state = state._replace(failures=0, passed_over=until)
-    return _rest(state._replace(replica=_next(state, rules, event.now)), wait, event)
+def _on_no_version(state: State, rules: Rules, event: EventData) -> Step:
+    # A higher number without its version is an invalid answer.  A number that is lower, or lower than another
+    # node's, comes from a replica that is behind.
+    if event.number != state.seen or state.advertised > state.seen:
+        return _on_failure(state, rules, event)
+    until = (*state.skipped_until[: state.replica], 0, *state.skipped_until[state.replica + 1 :])
+    wait = int(MAX_PAUSE * event.random)
+    if state.phase is Phase.LONG_POLL and event.now - state.polled_at < rules.hold // 2:
+        wait = int(EARLY_ANSWER_PAUSE * (0.5 + event.random))
+    state = state._replace(failures=0, skipped_until=until)
+    return _pause(state._replace(replica=_next_replica(state, rules, event.now)), wait, event)
 
 
-def _newer(state: State, rules: Rules, event: Event) -> Step:
+def _on_new_version(state: State, rules: Rules, event: EventData) -> Step:
     if event.number <= state.seen:
-        return _failed(state, rules, event)
+        return _on_failure(state, rules, event)
     state = state._replace(number=event.number, seen=event.number, failures=0)
-    return _rest(state, int(PAUSE * event.random), event)._replace(apply=True)
+    return _pause(state, int(MAX_PAUSE * event.random), event)._replace(apply=True)
 
 
-def _unfit(state: State, rules: Rules, event: Event) -> Step:
+def _on_unusable_version(state: State, rules: Rules, event: EventData) -> Step:
     if event.number < state.seen or event.number == state.number:
-        return _failed(state, rules, event)
+        return _on_failure(state, rules, event)
     if event.number > state.seen:
-        return _rest(state._replace(seen=event.number, failures=0), int(PAUSE * event.random), event)
-    # Again: of a replica that answers at once whatever this node refused.
-    state = state._replace(failures=0, replica=_next(state, rules, event.now))
-    return _rest(state, int(AGAIN * (0.5 + event.random)), event)
+        return _pause(state._replace(seen=event.number, failures=0), int(MAX_PAUSE * event.random), event)
+    # Refused before: this replica answers immediately with its newest version, even if this node refused it.
+    state = state._replace(failures=0, replica=_next_replica(state, rules, event.now))
+    return _pause(state, int(REFUSED_VERSION_PAUSE * (0.5 + event.random)), event)
 
 
-def _heard(state: State, rules: Rules, event: Event) -> Step:
-    if event.number <= max(state.seen, state.hint):
+def _on_advertised(state: State, rules: Rules, event: EventData) -> Step:
+    if event.number <= max(state.seen, state.advertised):
         return Step(state)
-    wait = int(min(HEAR_MOST, rules.nodes * HEAR_EACH) * event.random)
+    wait = int(min(MAX_ADVERTISED_DELAY, rules.nodes * ADVERTISED_DELAY_PER_NODE) * event.random)
     due = max(1, event.now + wait)
-    if state.phase is Phase.ASKING:
-        due = 0  # what is asked for now may bring it
+    if state.phase is Phase.SHORT_POLL:
+        due = 0  # the poll in flight may bring it
     elif state.due:
         due = min(due, state.due)
-    # Failures before have no part in what is asked for now.
-    return Step(state._replace(hint=event.number, due=due, failures=0))
+    # Earlier failures do not count for the advertised version.
+    return Step(state._replace(advertised=event.number, due=due, failures=0))
 
 
-def _stop(state: State, rules: Rules, event: Event) -> Step:
-    return Step(state._replace(phase=Phase.STOPPED, due=0), abandon=True)
+def _on_stop(state: State, rules: Rules, event: EventData) -> Step:
+    return Step(state._replace(phase=Phase.STOPPED, due=0), cancel_poll=True)
 
 
-_OUT: dict[Word, Transition] = {
-    Word.NEWER: _newer,
-    Word.UNFIT: _unfit,
-    Word.ANSWERED: _answered,
-    Word.FAILED: _failed,
-    Word.HEARD: _heard,
-    Word.STOP: _stop,
+_POLL_TRANSITIONS: dict[EventType, Transition] = {
+    EventType.NEW_VERSION: _on_new_version,
+    EventType.UNUSABLE_VERSION: _on_unusable_version,
+    EventType.NO_VERSION: _on_no_version,
+    EventType.FAILED: _on_failure,
+    EventType.ADVERTISED: _on_advertised,
+    EventType.STOP: _on_stop,
 }
-TABLE: dict[Phase, dict[Word, Transition]] = {
-    Phase.RESTING: {Word.WAKE: _wake, Word.HEARD: _heard, Word.STOP: _stop},
-    Phase.WATCHING: {**_OUT, Word.WAKE: _wake},
-    Phase.ASKING: _OUT,
+TRANSITIONS: dict[Phase, dict[EventType, Transition]] = {
+    Phase.IDLE: {EventType.DUE: _on_due, EventType.ADVERTISED: _on_advertised, EventType.STOP: _on_stop},
+    Phase.LONG_POLL: {**_POLL_TRANSITIONS, EventType.DUE: _on_due},
+    Phase.SHORT_POLL: _POLL_TRANSITIONS,
     Phase.STOPPED: {},
 }
 
@@ -239,24 +249,26 @@
 # Datagrams between nodes.
 
 
-def neighbours(me: int, nodes: int, most: int) -> tuple[int, ...]:
-    """The nodes that this one tells its version: at most so many, at distances that grow geometrically, so
-    that a word reaches all of a tier of N nodes within about `most` x N ** (1 / `most`) steps."""
-    steps: list[int] = []
-    for power in range(most):
-        distance = max(round(nodes ** (power / most)), steps[-1] + 1 if steps else 1)
+def neighbours(me: int, nodes: int, count: int) -> tuple[int, ...]:
+    """Returns the nodes to which node `me` advertises its version, at most `count` of `nodes`.
+
+    Their distances grow geometrically, so that an advertisement reaches a tier of N nodes within about
+    `count` x N ** (1 / `count`) rounds."""
+    distances: list[int] = []
+    for power in range(count):
+        distance = max(round(nodes ** (power / count)), distances[-1] + 1 if distances else 1)
         if distance < nodes:
-            steps.append(distance)
-    return tuple((me + distance) % nodes for distance in steps)
+            distances.append(distance)
+    return tuple((me + distance) % nodes for distance in distances)
 
 
 def encode(number: int, digest: str) -> bytes:
-    """`digest`: 32 hexadecimal digits, "" for none."""
+    """Encodes an advertisement.  `digest` has 32 hexadecimal digits, or is "" for version 0."""
     return DATAGRAM.pack(MAGIC, number, bytes.fromhex(digest[:16]).ljust(8, b"\0"))
 
 
 def decode(data: bytes) -> tuple[int, str] | None:
-    """Number and the digest's first 16 hexadecimal digits; None: no datagram of these."""
+    """Returns the number and the digest's first 16 hexadecimal digits, or None for any other datagram."""
     if len(data) != DATAGRAM.size or data[0] != MAGIC:
         return None
     _, number, digest = DATAGRAM.unpack(data)
--- a/violetsaddle/net/configuration.py
+++ b/violetsaddle/net/configuration.py
@@ -16,7 +16,7 @@
 
 from violetsaddle import settings
 from violetsaddle.decide import document, subscription
-from violetsaddle.decide.subscription import MS, SECOND, Ask, Phase, State, Word
+from violetsaddle.decide.subscription import MS, SECOND, EventType, Phase, Poll, State
 from violetsaddle.interface import Settings, SettingsError
 from violetsaddle.net import http
 from violetsaddle.net.connections import BrokenError, NotConnectedError, ServerConnection, dial
@@ -79,7 +79,7 @@
 def _version(table: Mapping[str, Any]) -> Version:
     number, digest = _field(table, "number", int), _field(table, "digest", str)
     author, text = _field(table, "author", str), _field(table, "document", str)
-    if not 0 < number <= subscription.MOST_NUMBER:
+    if not 0 < number <= subscription.MAX_VERSION_NUMBER:
         raise BadAnswerError("its number is out of range")
     if document.digest(text) != digest:
         raise BadAnswerError("its digest is another")
@@ -98,7 +98,7 @@
         raise BadAnswerError("no JSON object")
     if "document" not in table:
         number = _field(table, "number", int)
-        if not 0 <= number <= subscription.MOST_NUMBER:
+        if not 0 <= number <= subscription.MAX_VERSION_NUMBER:
             raise BadAnswerError("its number is out of range")
         return Answer(number, None)
     try:
@@ -194,7 +194,7 @@
         except Exception as error:  # guards against a fault of ours: the replicas have it too
             node.counters.fault("configuration: the snapshot is not used", error)
         now, me = node.deadlines.now(), node.config.told.me
-        self._state = subscription.begin(self._rules, me, self.version.number, now)
+        self._state = subscription.initial_state(self._rules, me, self.version.number, now)
 
     def follow(self) -> None:
         """Asks and tells from now on."""
@@ -212,24 +212,24 @@
 
     def stop(self) -> None:
         """The node ends: nothing is asked or told any more."""
-        self._step(Word.STOP)
+        self._step(EventType.STOP)
 
     # The state, and what it asks for.
 
-    def _step(self, word: Word, number: int = 0, fit: Fit | None = None) -> None:
+    def _step(self, word: EventType, number: int = 0, fit: Fit | None = None) -> None:
         if self._state is None:
             return
         now, drawn = self._node.deadlines.now(), self._random.random()
         made = subscription.step(self._state, self._rules, word, now, drawn, number)
         self._state = made.state
-        if made.abandon:
+        if made.cancel_poll:
             self._abandon()
         if made.apply and fit is not None:
             self._put(fit)
             self._tell()
             self._save()
-        if made.ask is not None:
-            self._call(made.ask)
+        if made.poll is not None:
+            self._call(made.poll)
         self._arm()
 
     def _arm(self) -> None:
@@ -238,7 +238,7 @@
         self._wake = deadlines.add(state.due, self._due) if state is not None and state.due else None
 
     def _due(self) -> None:
-        self._step(Word.WAKE)
+        self._step(EventType.DUE)
 
     def _say(self, text: str) -> None:
         """A line, unless it was the last one."""
@@ -271,7 +271,7 @@
 
     # Calls.
 
-    def _call(self, ask: Ask) -> None:
+    def _call(self, ask: Poll) -> None:
         self._round += 1
         self._running = Deferred.fromCoroutine(self._ask(ask, self._round))
         self._running.addErrback(self._faulty, self._round)
@@ -297,9 +297,9 @@
     def _failed(self) -> None:
         self._node.counters.add("configuration_failed")
         self._hang_up()
-        self._step(Word.FAILED)
+        self._step(EventType.FAILED)
 
-    async def _ask(self, ask: Ask, round: int) -> None:
+    async def _ask(self, ask: Poll, round: int) -> None:
         at = self._addresses[ask.replica]
         try:
             message = await self._exchange(ask, at)
@@ -315,7 +315,7 @@
         if round == self._round:
             self._take(answer)
 
-    async def _exchange(self, ask: Ask, at: tuple[str, int]) -> http.Message:
+    async def _exchange(self, ask: Poll, at: tuple[str, int]) -> http.Message:
         node, told = self._node, self._told
         if self._connection is None or not self._connection.open or self._connected != at:
             self._hang_up()
@@ -345,14 +345,14 @@
         if state is None:
             return
         if version is not None and state.number < version.number == state.seen:
-            self._step(Word.UNFIT, version.number)  # refused before
+            self._step(EventType.UNUSABLE_VERSION, version.number)  # refused before
             return
         if version is None or version.number <= state.seen:
             if answer.number < state.seen:
                 self._node.counters.add("configuration_behind")
             elif version is not None or answer.number > state.seen:
                 self._node.counters.add("configuration_failed")  # this is none to what was asked
-            self._step(Word.ANSWERED if version is None else Word.NEWER, answer.number)
+            self._step(EventType.NO_VERSION if version is None else EventType.NEW_VERSION, answer.number)
             return
         try:
             fit = self._fit(version)
@@ -361,9 +361,9 @@
             self._node.counters.add("configurations_refused")
             self._refused = version.number, key or "document"
             self._say(f"{version.shown} refused: {error}")
-            self._step(Word.UNFIT, version.number)
+            self._step(EventType.UNUSABLE_VERSION, version.number)
             return
-        self._step(Word.NEWER, version.number, fit)
+        self._step(EventType.NEW_VERSION, version.number, fit)
 
     # Snapshots.
 
@@ -415,5 +415,5 @@
         self._node.counters.add("configuration_heard")
         if number == self.version.number and number and digest != self.version.digest[:16]:
             self._say(f"configuration {number} is another one at node {origin}")
-        self._step(Word.HEARD, number)
+        self._step(EventType.ADVERTISED, number)
         return True
