--- a/tests/test_control_store.py
+++ b/tests/test_control_store.py
@@ -1,4 +1,4 @@
-"""The control process's store: one transaction a write, whatever fails or ends the program meanwhile."""
+"""Tests that each write of the control store is one transaction, whatever fails or kills the process."""
 
 from __future__ import annotations
 
@@ -11,15 +11,17 @@
 import unittest
 from pathlib import Path
 
-from violetsaddle.control.store import Row, Store, StoreError
+from violetsaddle.control.store import Store, StoreError, VersionRow
 from violetsaddle.lab.live.children import TREE
 
 STEPS = ("write", "state", "version", "written")
-LIMIT = 20.0  # seconds for a child program
+CHILD_TIMEOUT = 20.0  # seconds for a child program
 
 
-def row(number: int, size: int = 20) -> Row:
-    return Row(number, f"{number:032x}", "ann", 1_700_000_000_000 + number, '{"a": "' + "x" * size + '"}')
+def row(number: int, size: int = 20) -> VersionRow:
+    return VersionRow(
+        number, f"{number:032x}", "ann", 1_700_000_000_000 + number, '{"a": "' + "x" * size + '"}'
+    )
 
 
 class StoreTest(unittest.TestCase):
@@ -42,16 +44,16 @@
         store.write(b"three", row(2, 60_000))
         store.write(b"four")
         store.close()
-        again = self.open()
-        self.assertEqual(again.state(), b"four")
-        self.assertEqual((again.version(1), again.version(2)), (row(1), row(2, 60_000)))
-        self.assertEqual((again.version(3), again.numbers()), (None, [1, 2]))
+        reopened = self.open()
+        self.assertEqual(reopened.state(), b"four")
+        self.assertEqual((reopened.version(1), reopened.version(2)), (row(1), row(2, 60_000)))
+        self.assertEqual((reopened.version(3), reopened.numbers()), (None, [1, 2]))
 
-    def test_a_number_has_one_content(self) -> None:
+    def test_the_content_of_a_number_never_changes(self) -> None:
         store = self.open()
         store.write(b"one", row(1))
-        store.write(b"two", row(1))  # the same again changes nothing
-        with self.assertRaisesRegex(StoreError, "version 1 is there with another content"):
+        store.write(b"two", row(1))  # an equal version changes nothing
+        with self.assertRaisesRegex(StoreError, "version 1 already exists with different content"):
             store.write(b"three", row(1)._replace(digest="f" * 32))
         self.assertEqual((store.state(), store.version(1)), (b"two", row(1)))
 
@@ -81,26 +83,26 @@
             self.open("c1")
         self.assertEqual(self.open().state(), b"one")
 
-    def test_a_form_of_a_later_program_is_refused(self) -> None:
+    def test_a_schema_version_of_a_later_release_is_refused(self) -> None:
         self.open().close()
-        base = sqlite3.connect(self.path)
-        base.execute("PRAGMA user_version=2")
-        base.close()
-        with self.assertRaisesRegex(StoreError, "is of form 2, not 1"):
+        database = sqlite3.connect(self.path)
+        database.execute("PRAGMA user_version=2")
+        database.close()
+        with self.assertRaisesRegex(StoreError, "has schema version 2, not 1"):
             self.open()
 
-    def test_a_changed_state_is_found(self) -> None:
+    def test_a_corrupted_state_is_detected(self) -> None:
         store = self.open()
         store.write(b"one")
         store.close()
-        base = sqlite3.connect(self.path)
-        base.execute("UPDATE replica SET state = ?", (b"two",))
-        base.commit()
-        base.close()
+        database = sqlite3.connect(self.path)
+        database.execute("UPDATE replica SET state = ?", (b"two",))
+        database.commit()
+        database.close()
         with self.assertRaisesRegex(StoreError, "checksum"):
             self.open().state()
 
-    def test_closed_it_refuses(self) -> None:
+    def test_a_closed_store_raises(self) -> None:
         store = self.open()
         store.close()
         store.close()
@@ -109,41 +111,41 @@
                 call()
 
     def test_an_error_at_any_step_changes_nothing(self) -> None:
-        for at in STEPS[:3]:
-            with self.subTest(at):
-                wrong = [True]
+        for stop_step in STEPS[:3]:
+            with self.subTest(stop_step):
+                failing = [True]
 
-                def step(name: str, at: str = at, wrong: list[bool] = wrong) -> None:
-                    if wrong and name == at:
+                def step(name: str, stop_step: str = stop_step, failing: list[bool] = failing) -> None:
+                    if failing and name == stop_step:
                         raise OSError(28, "No space left on device")
 
-                path = str(self.folder / f"{at}.db")
+                path = str(self.folder / f"{stop_step}.db")
                 store = Store(path, "c0", step)
                 self.addCleanup(store.close)
-                wrong.clear()
+                failing.clear()
                 store.write(b"one", row(1))
-                wrong.append(True)
+                failing.append(True)
                 with self.assertRaisesRegex(StoreError, "No space left"):
                     store.write(b"two", row(2))
                 self.assertEqual((store.state(), store.numbers()), (b"one", [1]))
-                wrong.clear()
+                failing.clear()
                 store.write(b"three", row(2))
                 store.close()
-                again = self.open(path=path)
-                self.assertEqual((again.state(), again.numbers()), (b"three", [1, 2]))
-                again.close()
+                reopened = self.open(path=path)
+                self.assertEqual((reopened.state(), reopened.numbers()), (b"three", [1, 2]))
+                reopened.close()
 
-    def test_a_full_disk_refuses_and_loses_nothing(self) -> None:
+    def test_a_write_to_a_full_disk_fails_and_loses_nothing(self) -> None:
         store = self.open()
         store.write(b"one", row(1))
-        base = store._base
-        assert base is not None
-        pages = base.execute("PRAGMA page_count").fetchone()[0]
-        base.execute(f"PRAGMA max_page_count={pages}")
+        database = store._database
+        assert database is not None
+        pages = database.execute("PRAGMA page_count").fetchone()[0]
+        database.execute(f"PRAGMA max_page_count={pages}")
         with self.assertRaisesRegex(StoreError, "full"):
             store.write(b"two" * 1000, row(2, 60_000))
         self.assertEqual((store.state(), store.numbers()), (b"one", [1]))
-        base.execute("PRAGMA max_page_count=100000")
+        database.execute("PRAGMA max_page_count=100000")
         store.write(b"three", row(2, 60_000))
         self.assertEqual((store.state(), store.numbers()), (b"three", [1, 2]))
 
@@ -152,11 +154,11 @@
             [sys.executable, "-c", code, self.path, *args],
             capture_output=True,
             text=True,
-            timeout=LIMIT,
+            timeout=CHILD_TIMEOUT,
             cwd=TREE,
         )
 
-    def test_a_file_that_may_not_grow_refuses_and_loses_nothing(self) -> None:
+    def test_a_write_beyond_the_file_size_limit_fails_and_loses_nothing(self) -> None:
         code = (
             "import resource, sys\n"
             "from tests.test_control_store import Store, StoreError, row\n"
@@ -178,20 +180,20 @@
         )
         run = self.child(code)
         self.assertEqual((run.returncode, run.stderr), (0, ""), run.stderr)
-        said, last = run.stdout.splitlines()
-        self.assertRegex(said, "c0.db: .*(full|I/O)")
+        error_line, last = run.stdout.splitlines()
+        self.assertRegex(error_line, "c0.db: .*(full|I/O)")
         store = self.open()
         self.assertEqual((store.state(), store.numbers()), (b"last", list(range(1, int(last) + 1))))
         self.assertGreater(int(last), 2)
 
-    def test_killed_between_any_two_writes_it_holds_the_last_or_the_one_before(self) -> None:
+    def test_a_kill_at_any_step_leaves_the_last_write_or_the_one_before(self) -> None:
         code = (
             "import os, signal, sys\n"
             "from tests.test_control_store import Store, row\n"
-            "at, count = sys.argv[2], int(sys.argv[3])\n"
+            "stop_step, count = sys.argv[2], int(sys.argv[3])\n"
             "seen = [0]\n"
             "def step(name):\n"
-            "    if name == at:\n"
+            "    if name == stop_step:\n"
             "        seen[0] += 1\n"
             "        if seen[0] == count:\n"
             "            os.kill(os.getpid(), signal.SIGKILL)\n"
@@ -199,12 +201,12 @@
             "for n in range(1, 4):\n"
             "    store.write(b'%d' % n, row(n, 30_000))\n"
         )
-        for at in STEPS:
+        for stop_step in STEPS:
             for count in (1, 2, 3):
-                with self.subTest(f"{at} {count}"):
-                    run = self.child(code, at, str(count))
+                with self.subTest(f"{stop_step} {count}"):
+                    run = self.child(code, stop_step, str(count))
                     self.assertEqual(run.returncode, -signal.SIGKILL, run.stderr)
-                    done = count if at == "written" else count - 1
+                    done = count if stop_step == "written" else count - 1
                     store = self.open()
                     self.assertEqual(store.state(), b"%d" % done if done else None)
                     self.assertEqual(store.numbers(), list(range(1, done + 1)))
@@ -212,7 +214,7 @@
                     for file in self.folder.iterdir():
                         file.unlink()
 
-    def test_a_copy_of_the_file_and_its_log_is_a_whole_store(self) -> None:
+    def test_a_copy_of_the_file_and_its_log_is_a_complete_store(self) -> None:
         store = self.open()
         for number in range(1, 30):
             store.write(b"%d" % number, row(number, 30_000))
@@ -223,28 +225,28 @@
         copy = self.open(path=str(copied / "c0.db"))
         self.assertEqual((copy.state(), copy.numbers()), (b"29", list(range(1, 30))))
 
-    def test_a_log_cut_anywhere_holds_whole_writes(self) -> None:
-        """A loss of power may leave the end of the log unwritten."""
+    def test_a_truncated_log_holds_only_complete_writes(self) -> None:
+        """A power failure may leave the end of the log unwritten."""
         store = self.open()
         for number in range(1, 5):
             store.write(b"%d" % number, row(number, 9_000))
         log = (self.folder / "c0.db-wal").read_bytes()
-        base = (self.folder / "c0.db").read_bytes()
+        database = (self.folder / "c0.db").read_bytes()
         cut = self.folder / "cut"
         cut.mkdir()
-        seen = set()
+        states = set()
         for size in range(len(log), 0, -1501):
             for file in cut.iterdir():
                 file.unlink()
-            (cut / "c0.db").write_bytes(base)
+            (cut / "c0.db").write_bytes(database)
             (cut / "c0.db-wal").write_bytes(log[:size])
-            part = self.open(path=str(cut / "c0.db"))
-            state, numbers = part.state(), part.numbers()
+            partial_store = self.open(path=str(cut / "c0.db"))
+            state, numbers = partial_store.state(), partial_store.numbers()
             self.assertEqual(numbers, list(range(1, int(state or b"0") + 1)))
-            seen.add(state)
-            part.close()
-        self.assertIn(b"4", seen)
-        self.assertGreater(len(seen), 3)
+            states.add(state)
+            partial_store.close()
+        self.assertIn(b"4", states)
+        self.assertGreater(len(states), 3)
 
 
 if __name__ == "__main__":
--- a/violetsaddle/control/driver.py
+++ b/violetsaddle/control/driver.py
@@ -14,7 +14,7 @@
 
 from violetsaddle.control.node_registry import Node
 from violetsaddle.control.server import Answer, Done, Newest, Write, refusal
-from violetsaddle.control.store import Row, StoreError
+from violetsaddle.control.store import StoreError, VersionRow
 from violetsaddle.decide import document as documents
 from violetsaddle.decide import replication_messages as messages
 from violetsaddle.decide.replication import ReplicaState, step
@@ -42,10 +42,10 @@
 class Disk(Protocol):
     """What outlives the process; see `Store`, whose errors its methods raise."""
 
-    def write(self, state: bytes, version: Row | None = None) -> None:
+    def write(self, state: bytes, version: VersionRow | None = None) -> None:
         """Durable as it returns, all or nothing."""
 
-    def version(self, number: int) -> Row | None:
+    def version(self, number: int) -> VersionRow | None:
         """A committed version; None: it is not held."""
 
 
@@ -238,7 +238,7 @@
         durable = actions[0].durable
         version = durable.committed
         fresh = version is not None and version.number > self._newest.number
-        row = Row(*msgspec.structs.astuple(version)) if fresh and version is not None else None
+        row = VersionRow(*msgspec.structs.astuple(version)) if fresh and version is not None else None
         data = self._encoder.encode(durable)
         self._writing = True
 
--- a/violetsaddle/control/run.py
+++ b/violetsaddle/control/run.py
@@ -17,7 +17,7 @@
 from violetsaddle import settings
 from violetsaddle.control.driver import Driver, Written
 from violetsaddle.control.server import ControlFactory
-from violetsaddle.control.store import Step, Store, StoreError, no_step
+from violetsaddle.control.store import StepHook, Store, StoreError, ignore_step
 from violetsaddle.control.transport import PeerLink
 from violetsaddle.decide.document import baseline_of
 from violetsaddle.decide.replication import new_replica
@@ -189,7 +189,7 @@
     store: str,
     settings_file: str,
     new: bool,
-    step: Step = no_step,
+    step: StepHook = ignore_step,
 ) -> int:
     """Runs a replica and gives the program's status; `step`: see `Store`."""
     try:
--- a/violetsaddle/control/store.py
+++ b/violetsaddle/control/store.py
@@ -1,8 +1,8 @@
-"""What a replica must not forget: one SQLite file with its durable state and every committed version.
+"""Durable storage of a replica: one SQLite file with its state and every committed version.
 
-Each write is one transaction, on disk before the call returns (WAL, `synchronous=FULL`): after a crash at any
-moment the file holds what was written before, or that and the last write, whole.  A write that fails changes
-nothing.  The file is locked for as long as it is open, so that no two processes speak for one replica."""
+Each write is one transaction, and is on disk when the call returns (WAL, `synchronous=FULL`).  After a crash
+at any point the file holds either all of the last write or none of it.  A write that fails changes nothing.
+The file is locked while it is open, so that no two processes act as the same replica."""
 
 from __future__ import annotations
 
@@ -12,15 +12,15 @@
 from typing import NamedTuple
 
 try:
-    from _blake2 import blake2b  # as hashlib would give it, which loads OpenSSL first
+    from _blake2 import blake2b  # the implementation that hashlib uses; importing hashlib would load OpenSSL
 except ImportError:
     from hashlib import blake2b
 
-FORM = 1  # of the tables
-CHECK = 16  # bytes of the state's checksum
-Step = Callable[[str], None]
+SCHEMA_VERSION = 1  # stored as `user_version`
+CHECKSUM_BYTES = 16  # of the checksum of the state
+StepHook = Callable[[str], None]
 
-TABLES = """
+SCHEMA = """
 CREATE TABLE IF NOT EXISTS replica (
     id INTEGER PRIMARY KEY CHECK (id = 1), name TEXT NOT NULL, state BLOB NOT NULL, checksum BLOB NOT NULL);
 CREATE TABLE IF NOT EXISTS versions (
@@ -30,10 +30,10 @@
 
 
 class StoreError(Exception):
-    """The file can't be used, read or written; one line says why."""
+    """Raised when the file can't be opened, read or written.  The message is one line."""
 
 
-class Row(NamedTuple):
+class VersionRow(NamedTuple):
     """A committed version; `time_ms`: Unix time in milliseconds."""
 
     number: int
@@ -43,89 +43,90 @@
     document: str
 
 
-def no_step(name: str) -> None:
-    """Tests pass one that ends the process, or raises, at a step."""
+def ignore_step(name: str) -> None:
+    """Does nothing.  Tests pass a hook that kills the process, or raises, at a step of a write."""
 
 
 def _checksum(state: bytes) -> bytes:
-    return blake2b(state, digest_size=CHECK).digest()
+    return blake2b(state, digest_size=CHECKSUM_BYTES).digest()
 
 
-def _why(error: Exception) -> str:
+def _error_text(error: Exception) -> str:
     return " ".join(str(error).split())[:200] or type(error).__name__
 
 
 class Store:
-    """`name`: the replica's; a file written by another one is refused.  Methods may be called from any
-    thread, one at a time; each raises `StoreError`."""
+    """The file of the replica `name`.  A file of another replica is refused.
 
-    def __init__(self, path: str, name: str, step: Step = no_step) -> None:
-        """Opens the file, or makes it; `step` is told of each step of a write."""
+    Methods may be called from any thread; a lock serializes them.  Each raises `StoreError`."""
+
+    def __init__(self, path: str, name: str, step: StepHook = ignore_step) -> None:
+        """Opens or creates the file.  `step` is called with the name of each step of a write."""
         self.path, self.name, self._step, self._lock = path, name, step, Lock()
-        self._base: sqlite3.Connection | None = None
+        self._database: sqlite3.Connection | None = None
         try:
-            self._base = sqlite3.connect(path, timeout=0.2, isolation_level=None, check_same_thread=False)
-            self._open(self._base)
+            self._database = sqlite3.connect(path, timeout=0.2, isolation_level=None, check_same_thread=False)
+            self._open(self._database)
         except (sqlite3.Error, OSError, ValueError) as error:
             self.close()
-            raise StoreError(f"{path}: {_why(error)}") from None
+            raise StoreError(f"{path}: {_error_text(error)}") from None
         except StoreError:
             self.close()
             raise
 
-    def _open(self, base: sqlite3.Connection) -> None:
-        base.execute("PRAGMA locking_mode=EXCLUSIVE")
-        mode = base.execute("PRAGMA journal_mode=WAL").fetchone()[0]
+    def _open(self, database: sqlite3.Connection) -> None:
+        database.execute("PRAGMA locking_mode=EXCLUSIVE")
+        mode = database.execute("PRAGMA journal_mode=WAL").fetchone()[0]
         if mode != "wal":
-            raise StoreError(f"{self.path}: the file system allows no write-ahead log")
-        base.execute("PRAGMA synchronous=FULL")
-        form = base.execute("PRAGMA user_version").fetchone()[0]
-        if form not in (0, FORM):
-            raise StoreError(f"{self.path}: is of form {form}, not {FORM}")
-        # Takes the lock, also where the tables are there; then nothing is written, so that a full disk can be
-        # read.
-        make = () if form else (*TABLES.split(";"), f"PRAGMA user_version={FORM}")
-        self._whole(lambda: [base.execute(statement) for statement in make])
-        row = base.execute("SELECT name FROM replica").fetchone()
+            raise StoreError(f"{self.path}: the file system does not support write-ahead logging")
+        database.execute("PRAGMA synchronous=FULL")
+        schema_version = database.execute("PRAGMA user_version").fetchone()[0]
+        if schema_version not in (0, SCHEMA_VERSION):
+            raise StoreError(f"{self.path}: has schema version {schema_version}, not {SCHEMA_VERSION}")
+        # Takes the lock, even if the tables exist.  Then nothing is written, so that the file can be
+        # read on a full disk.
+        statements = () if schema_version else (*SCHEMA.split(";"), f"PRAGMA user_version={SCHEMA_VERSION}")
+        self._transaction(lambda: [database.execute(statement) for statement in statements])
+        row = database.execute("SELECT name FROM replica").fetchone()
         if row is not None and row[0] != self.name:
             raise StoreError(f"{self.path}: belongs to replica {row[0]!r}, not {self.name!r}")
 
     def close(self) -> None:
-        """Closing twice does nothing."""
+        """Closes the file and releases the lock.  Further calls do nothing."""
         with self._lock:
-            base, self._base = self._base, None
-            if base is not None:
+            database, self._database = self._database, None
+            if database is not None:
                 try:
-                    base.close()
+                    database.close()
                 except sqlite3.Error:
-                    pass  # what was committed is on disk already
-
-    def _whole(self, work: Callable[[], object]) -> None:
-        """One transaction; whatever fails undoes all of it."""
-        base = self._connection()
-        if base.in_transaction:  # a roll-back has failed before
-            base.execute("ROLLBACK")
-        base.execute("BEGIN IMMEDIATE")
+                    pass  # committed data is already on disk
+
+    def _transaction(self, work: Callable[[], object]) -> None:
+        """Runs `work` in one transaction, and rolls back if anything fails."""
+        database = self._connection()
+        if database.in_transaction:  # an earlier rollback failed
+            database.execute("ROLLBACK")
+        database.execute("BEGIN IMMEDIATE")
         try:
             work()
-            base.execute("COMMIT")
+            database.execute("COMMIT")
         except BaseException:
-            if base.in_transaction:
-                base.execute("ROLLBACK")
+            if database.in_transaction:
+                database.execute("ROLLBACK")
             raise
 
     def _connection(self) -> sqlite3.Connection:
-        if self._base is None:
+        if self._database is None:
             raise StoreError(f"{self.path}: is closed")
-        return self._base
+        return self._database
 
     def state(self) -> bytes | None:
-        """What was written last; None: nothing ever was."""
+        """Returns the last state written, or None if there is none."""
         with self._lock:
             try:
                 row = self._connection().execute("SELECT state, checksum FROM replica").fetchone()
             except sqlite3.Error as error:
-                raise StoreError(f"{self.path}: {_why(error)}") from None
+                raise StoreError(f"{self.path}: {_error_text(error)}") from None
         if row is None:
             return None
         state = bytes(row[0])
@@ -133,34 +134,39 @@
             raise StoreError(f"{self.path}: the checksum of the replica's state is wrong")
         return state
 
-    def write(self, state: bytes, version: Row | None = None) -> None:
-        """Replaces the state and, in the same transaction, adds a version; one that is there already must be
-        the same, for a number has one content for ever."""
+    def write(self, state: bytes, version: VersionRow | None = None) -> None:
+        """Replaces the state and, in the same transaction, adds a version.
+
+        A version that exists must be equal, because the content of a version number never changes."""
         with self._lock:
             try:
                 self._step("write")
-                self._whole(lambda: self._put(state, version))
+                self._transaction(lambda: self._write_rows(state, version))
             except (sqlite3.Error, OSError) as error:
-                raise StoreError(f"{self.path}: {_why(error)}") from None
+                raise StoreError(f"{self.path}: {_error_text(error)}") from None
             self._step("written")
 
-    def _put(self, state: bytes, version: Row | None) -> None:
-        base = self._connection()
-        base.execute(
+    def _write_rows(self, state: bytes, version: VersionRow | None) -> None:
+        database = self._connection()
+        database.execute(
             "INSERT INTO replica (id, name, state, checksum) VALUES (1, ?, ?, ?) "
             "ON CONFLICT (id) DO UPDATE SET state = excluded.state, checksum = excluded.checksum",
             (self.name, state, _checksum(state)),
         )
         self._step("state")
         if version is not None:
-            base.execute("INSERT OR IGNORE INTO versions VALUES (?, ?, ?, ?, ?)", version)
-            held = base.execute("SELECT digest FROM versions WHERE number = ?", (version.number,)).fetchone()
-            if held[0] != version.digest:
-                raise StoreError(f"{self.path}: version {version.number} is there with another content")
+            database.execute("INSERT OR IGNORE INTO versions VALUES (?, ?, ?, ?, ?)", version)
+            existing = database.execute(
+                "SELECT digest FROM versions WHERE number = ?", (version.number,)
+            ).fetchone()
+            if existing[0] != version.digest:
+                raise StoreError(
+                    f"{self.path}: version {version.number} already exists with different content"
+                )
             self._step("version")
 
-    def version(self, number: int) -> Row | None:
-        """A committed version; None: it is not held."""
+    def version(self, number: int) -> VersionRow | None:
+        """Returns a committed version, or None if it is not stored."""
         with self._lock:
             try:
                 row = (
@@ -169,14 +175,14 @@
                     .fetchone()
                 )
             except sqlite3.Error as error:
-                raise StoreError(f"{self.path}: {_why(error)}") from None
-        return None if row is None else Row(*row)
+                raise StoreError(f"{self.path}: {_error_text(error)}") from None
+        return None if row is None else VersionRow(*row)
 
     def numbers(self) -> list[int]:
-        """Of all versions held, rising."""
+        """Returns the numbers of all stored versions in ascending order."""
         with self._lock:
             try:
                 rows = self._connection().execute("SELECT number FROM versions ORDER BY number").fetchall()
             except sqlite3.Error as error:
-                raise StoreError(f"{self.path}: {_why(error)}") from None
+                raise StoreError(f"{self.path}: {_error_text(error)}") from None
         return [row[0] for row in rows]
