--- a/violetsaddle/cli/config.py
+++ b/violetsaddle/cli/config.py
@@ -64,7 +64,7 @@
         click.echo(f"not yet: {_names(rows)}")
     for name, why in found.refused.items():
         click.echo(f"refused by {_plain(name)}: {_plain(why)}")
-    for address in found.silent:
+    for address in found.unavailable:
         click.echo(f"no answer: {address}: nodes that only it hears are not known")
     if found.in_force:
         click.echo(f"in force: all {len(found.running)} nodes run {found.number}, after {spent:.2f} s")
@@ -109,11 +109,11 @@
                     data = opened.read(MAX_DOCUMENT_BYTES + 1)
         except (OSError, ValueError) as error:
             raise client.InputError(f"{file}: {getattr(error, 'strerror', None) or error}") from None
-        document = client.checked(data)
+        document = client.decode_document(data)
         begun = time.monotonic()
         done = client.write(replicas, document, author or _author(), base, wait, time.monotonic)
         click.echo(f"version {done.number} accepted by {_plain(done.replica)}, digest {_plain(done.digest)}")
-        return _told(*client.follow(replicas, done.number, wait, time.monotonic, begun))
+        return _told(*client.wait_for_rollout(replicas, done.number, wait, time.monotonic, begun))
 
     _ending(work)
 
@@ -127,7 +127,7 @@
     def work() -> int:
         for address in replicas:
             client.endpoint(address)
-        found = client.newest(replicas)
+        found = client.newest_version(replicas)
         if "document" not in found:
             raise client.FailedError("nothing was pushed yet: each node runs its own configuration file")
         try:
@@ -144,8 +144,8 @@
 
 
 def _replica(status: client.Status) -> None:
-    if status.wrong:
-        click.echo(f"replica {_plain(status.wrong)}")
+    if status.failure:
+        click.echo(f"replica {_plain(status.failure)}")
         return
     peers = ", ".join(f"{p.get('name')} {p.get('number')} {_ago(p.get('seconds_ago'))}" for p in status.peers)
     click.echo(
@@ -170,7 +170,7 @@
         told = client.statuses(replicas)
         for one in told:
             _replica(one)
-        good = [one for one in told if not one.wrong]
+        good = [one for one in told if not one.failure]
         if not good:
             raise client.FailedError("no replica answers")
         number = max(one.number for one in good)
--- a/violetsaddle/control/client.py
+++ b/violetsaddle/control/client.py
@@ -1,4 +1,4 @@
-"""What operators' commands ask of the replicas: blocking, one short connection a call."""
+"""Blocking client of the control replicas for the operator's commands.  Each call opens a connection."""
 
 from __future__ import annotations
 
@@ -12,35 +12,35 @@
 
 from violetsaddle.decide.document import MAX_DOCUMENT_BYTES, digest
 
-ASK = 2.0  # seconds for an answer at once
-WRITE = 10.0  # seconds for a write's
-LOOK_EVERY = 0.1  # seconds between two looks at who runs what
-PAUSE = 0.3  # seconds between two rounds of tries to write
-AGAIN = ("undecided", "behind", "starting", "recovering", "busy", "unreachable")  # worth another try
+READ_TIMEOUT = 2.0  # seconds
+WRITE_TIMEOUT = 10.0  # seconds
+POLL_INTERVAL = 0.1  # seconds between two requests for the status
+RETRY_INTERVAL = 0.3  # seconds between two rounds of attempts to write
+RETRYABLE_ERRORS = ("undecided", "behind", "starting", "recovering", "busy", "unreachable")
 Clock = Callable[[], float]
 
 
 class InputError(Exception):
-    """What was given can't be used; one line says why."""
+    """Raised for unusable input.  The message is one line."""
 
 
 class FailedError(Exception):
-    """No version was written, or not surely; one line says why."""
+    """Raised if no version was written, or if that is unknown.  The message is one line."""
 
 
 class UnreachableError(Exception):
-    """No answer that can be read."""
+    """Raised if a replica gives no valid answer."""
 
 
 class Reply(NamedTuple):
-    """A replica's answer; `body`: its JSON object."""
+    """A replica's answer.  `body` is its JSON object."""
 
     status: int
     body: dict[str, Any]
 
     @property
     def error(self) -> str:
-        """The error's name, which programs go by."""
+        """The error's name, for programs."""
         return str(self.body.get("error", f"status {self.status}"))
 
     @property
@@ -51,7 +51,7 @@
 
 @dataclass(frozen=True)
 class Status:
-    """What one replica says; `wrong`: why it says nothing."""
+    """The status of one replica.  `failure` says why it is not available, and is "" otherwise."""
 
     address: str
     replica: str = "?"
@@ -60,123 +60,131 @@
     digest: str = ""
     peers: tuple[dict[str, Any], ...] = ()
     nodes: tuple[dict[str, Any], ...] = ()
-    wrong: str = ""
+    failure: str = ""
 
 
 @dataclass(frozen=True)
 class Rollout:
-    """Who runs a version, by all replicas together.  `refused`: the key, by node; `silent`: addresses."""
+    """Which nodes run a version, according to all replicas.
+
+    `running` holds the names of the nodes that run it or a later one.  `refused` holds the key that each node
+    refused, and `waiting` the version that each of the other nodes runs.  `unavailable` holds the addresses
+    of the replicas that gave no status."""
 
     number: int
     running: tuple[str, ...] = ()
-    waiting: dict[str, int] = field(default_factory=dict)  # the number that each runs
+    waiting: dict[str, int] = field(default_factory=dict)
     refused: dict[str, str] = field(default_factory=dict)
-    silent: tuple[str, ...] = ()
+    unavailable: tuple[str, ...] = ()
 
     @property
     def in_force(self) -> bool:
-        """Every node that is heard runs it, and nobody is left who might hear others."""
-        return bool(self.running) and not (self.waiting or self.refused or self.silent)
+        """Whether every known node runs it, and no replica is unavailable that may know other nodes."""
+        return bool(self.running) and not (self.waiting or self.refused or self.unavailable)
 
     @property
     def settled(self) -> bool:
-        """Nothing more is to be waited for."""
-        return bool(self.running or self.refused) and not (self.waiting or self.silent)
+        """Whether further waiting can't change the result."""
+        return bool(self.running or self.refused) and not (self.waiting or self.unavailable)
 
 
 def endpoint(text: str) -> tuple[str, int]:
-    """`host:port`; raises `InputError`."""
+    """Parses `host:port`.  Raises `InputError`."""
     host, _, port = text.rpartition(":")
     if not host or not port.isascii() or not port.isdigit() or not 0 < int(port) < 65536:
         raise InputError(f"{text}: expected host:port")
     return host, int(port)
 
 
-def call(address: str, method: str, path: str, body: bytes | None = None, wait: float = ASK) -> Reply:
-    """One request; raises `UnreachableError`."""
+def call(
+    address: str, method: str, path: str, body: bytes | None = None, wait: float = READ_TIMEOUT
+) -> Reply:
+    """Sends one request with a timeout of `wait` seconds.  Raises `UnreachableError`."""
     host, port = endpoint(address)
-    line = http.client.HTTPConnection(host, port, timeout=wait)
+    connection = http.client.HTTPConnection(host, port, timeout=wait)
     try:
-        line.request(method, path, body, {"Content-Type": "application/json"} if body else {})
-        answer = line.getresponse()
-        read = json.loads(answer.read() or b"{}")
-        if not isinstance(read, dict):
-            raise ValueError("the answer is no object")
-        return Reply(answer.status, read)
+        connection.request(method, path, body, {"Content-Type": "application/json"} if body else {})
+        response = connection.getresponse()
+        decoded = json.loads(response.read() or b"{}")
+        if not isinstance(decoded, dict):
+            raise ValueError("the answer is not a JSON object")
+        return Reply(response.status, decoded)
     except (OSError, http.client.HTTPException, ValueError, RecursionError) as error:
-        why = getattr(error, "strerror", None) or str(error) or type(error).__name__
-        raise UnreachableError(f"{address}: {' '.join(why.split())[:200]}") from None
+        reason = getattr(error, "strerror", None) or str(error) or type(error).__name__
+        raise UnreachableError(f"{address}: {' '.join(reason.split())[:200]}") from None
     finally:
-        line.close()
+        connection.close()
 
 
 def _status(address: str) -> Status:
     try:
         reply = call(address, "GET", "/configuration/status")
-        told = reply.body
+        body = reply.body
         if reply.status != 200:
-            return Status(address, wrong=f"{address}: {reply.text}")
+            return Status(address, failure=f"{address}: {reply.text}")
         return Status(
             address,
-            str(told["replica"]),
-            str(told["state"]),
-            int(told["number"]),
-            str(told["digest"]),
-            tuple(dict(p) for p in told["peers"]),
-            tuple({**n, "number": int(n["number"]), "name": str(n["name"])} for n in told["nodes"]),
+            str(body["replica"]),
+            str(body["state"]),
+            int(body["number"]),
+            str(body["digest"]),
+            tuple(dict(peer) for peer in body["peers"]),
+            tuple(
+                {**node, "number": int(node["number"]), "name": str(node["name"])} for node in body["nodes"]
+            ),
         )
     except UnreachableError as error:
-        return Status(address, wrong=str(error))
+        return Status(address, failure=str(error))
     except (KeyError, TypeError, ValueError) as error:
-        return Status(address, wrong=f"{address}: its status can't be read: {error!r}"[:200])
+        return Status(address, failure=f"{address}: invalid status: {error!r}"[:200])
 
 
 def statuses(addresses: Sequence[str]) -> list[Status]:
-    """Of all replicas, asked at once."""
+    """Returns the status of each replica.  All are queried in parallel."""
     with ThreadPoolExecutor(max(1, len(addresses))) as pool:
         return list(pool.map(_status, addresses))
 
 
-def rollout(told: Sequence[Status], number: int) -> Rollout:
-    """Who runs version `number` or a later one."""
-    newest: dict[str, dict[str, Any]] = {}
-    for node in (n for status in told for n in status.nodes):
-        held = newest.get(node["name"])
-        # Several replicas may have heard it: its last word counts.
-        if held is None or float(node["seconds_ago"]) < float(held["seconds_ago"]):
-            newest[node["name"]] = node
+def rollout(replica_statuses: Sequence[Status], number: int) -> Rollout:
+    """Returns which nodes run version `number` or a later one."""
+    latest: dict[str, dict[str, Any]] = {}
+    for node in (entry for status in replica_statuses for entry in status.nodes):
+        known = latest.get(node["name"])
+        # A node may have reported to several replicas: the newest report counts.
+        if known is None or float(node["seconds_ago"]) < float(known["seconds_ago"]):
+            latest[node["name"]] = node
     running, waiting, refused = [], {}, {}
-    for name, node in sorted(newest.items()):
+    for name, node in sorted(latest.items()):
         if node["number"] >= number:
             running.append(name)
         elif int(node.get("refused") or 0) >= number:
             refused[name] = str(node.get("why") or "?")
         else:
             waiting[name] = int(node["number"])
-    silent = tuple(status.address for status in told if status.wrong)
-    return Rollout(number, tuple(running), waiting, refused, silent)
+    unavailable = tuple(status.address for status in replica_statuses if status.failure)
+    return Rollout(number, tuple(running), waiting, refused, unavailable)
 
 
-def _constant(text: str) -> None:
-    raise ValueError(f"{text} is no JSON")
+def _reject_constant(text: str) -> None:
+    raise ValueError(f"{text} is not valid JSON")
 
 
-def checked(data: bytes) -> str:
-    """A document's text; raises `InputError` where it is no JSON object or too long."""
+def decode_document(data: bytes) -> str:
+    """Decodes a document.  Raises `InputError` if it is not a JSON object or is too long."""
     if len(data) > MAX_DOCUMENT_BYTES:
         raise InputError(f"the document is longer than {MAX_DOCUMENT_BYTES} bytes: {len(data)}")
     try:
         text = data.decode("utf-8")
-        read = json.loads(text, parse_constant=_constant)
+        decoded = json.loads(text, parse_constant=_reject_constant)
     except (ValueError, RecursionError) as error:
         raise InputError(f"not JSON: {' '.join(str(error).split())[:200]}") from None
-    if not isinstance(read, dict):
+    if not isinstance(decoded, dict):
         raise InputError("expected a JSON object")
     return text
 
 
 class Accepted(NamedTuple):
-    """A version that was accepted, and by which replica it was told."""
+    """An accepted version, and the replica that accepted the write."""
 
     number: int
     digest: str
@@ -186,70 +194,77 @@
 def write(
     addresses: Sequence[str], document: str, author: str, base: int | None, wait: float, clock: Clock
 ) -> Accepted:
-    """Has a document follow version `base`, or the newest; tried at each replica in turn, for up to `wait`
-    seconds.  A try whose end is not known may be repeated: the same author's same document after the same
-    base is one write.  Raises `InputError` or `FailedError`."""
-    told = statuses(addresses)
-    good = [status for status in told if not status.wrong]
-    if not good:
-        raise FailedError("no replica answers: " + "; ".join(status.wrong for status in told))
+    """Writes a document as the successor of version `base`, or of the newest if `base` is None.
+
+    Tries each replica in turn, for up to `wait` seconds.  An attempt with an unknown outcome may be repeated,
+    because the same author, document and base identify one write.  Raises `InputError` or `FailedError`."""
+    replica_statuses = statuses(addresses)
+    available = [status for status in replica_statuses if not status.failure]
+    if not available:
+        raise FailedError("no replica answers: " + "; ".join(status.failure for status in replica_statuses))
     if base is None:
-        base = max(status.number for status in good)
-    good.sort(key=lambda status: (status.state != "voting", -status.number))
+        base = max(status.number for status in available)
+    available.sort(key=lambda status: (status.state != "voting", -status.number))
     body = json.dumps(
         {"base": base, "author": author, "digest": digest(document), "document": document}, ensure_ascii=False
     ).encode()
-    until, unsure, said = clock() + wait, False, ""
+    deadline, outcome_unknown, last_error = clock() + wait, False, ""
     while True:
-        again = False
-        for status in good:
+        retryable = False
+        for status in available:
             try:
-                reply = call(status.address, "POST", "/configuration", body, WRITE)
-                error, said = reply.error, f"{status.replica}: {reply.text}"
-            except UnreachableError as broken:
-                reply, error, said = Reply(503, {}), "unreachable", str(broken)
+                reply = call(status.address, "POST", "/configuration", body, WRITE_TIMEOUT)
+                error, last_error = reply.error, f"{status.replica}: {reply.text}"
+            except UnreachableError as unreachable:
+                reply, error, last_error = Reply(503, {}), "unreachable", str(unreachable)
             if reply.status == 200:
                 return Accepted(int(reply.body["number"]), str(reply.body["digest"]), status.replica)
             if reply.status == 409:
-                more = "; an earlier try of this write may have taken effect before" if unsure else ""
+                note = "; an earlier attempt of this write may have taken effect" if outcome_unknown else ""
                 raise FailedError(
-                    f"conflict: version {reply.body.get('number')} is the newest, not {base}{more}"
+                    f"conflict: version {reply.body.get('number')} is the newest, not {base}{note}"
                 )
             if reply.status in (400, 413, 422):
                 key = reply.body.get("key")
                 raise InputError(f"refused: {f'{key}: ' if key else ''}{reply.text}")
-            unsure = unsure or error in ("undecided", "unreachable")
-            again = again or error in AGAIN
-        if not again or clock() >= until:
-            raise FailedError(said + ("; it may still take effect: see `config show`" if unsure else ""))
-        time.sleep(PAUSE)
+            outcome_unknown = outcome_unknown or error in ("undecided", "unreachable")
+            retryable = retryable or error in RETRYABLE_ERRORS
+        if not retryable or clock() >= deadline:
+            raise FailedError(
+                last_error + ("; it may still take effect: see `config show`" if outcome_unknown else "")
+            )
+        time.sleep(RETRY_INTERVAL)
 
 
-def follow(
+def wait_for_rollout(
     addresses: Sequence[str], number: int, wait: float, clock: Clock, since: float | None = None
 ) -> tuple[Rollout, float]:
-    """Waits until every node runs a version, for up to `wait` seconds; who does, and how long that took."""
-    begun = clock() if since is None else since
+    """Waits up to `wait` seconds until every node runs version `number`.
+
+    Returns the last rollout and the seconds passed since the clock time `since`, or since the call."""
+    started = clock() if since is None else since
     while True:
-        found = rollout(statuses(addresses), number)
-        spent = clock() - begun
-        if found.settled or spent >= wait:
-            return found, spent
-        time.sleep(LOOK_EVERY)
-
-
-def newest(addresses: Sequence[str]) -> dict[str, Any]:
-    """The newest version that any replica serves, with its document if any.  Raises `FailedError`."""
-    good = [status for status in statuses(addresses) if not status.wrong]
-    good.sort(key=lambda status: -status.number)
-    wrong = "no replica answers"
-    for status in good:
+        current = rollout(statuses(addresses), number)
+        elapsed = clock() - started
+        if current.settled or elapsed >= wait:
+            return current, elapsed
+        time.sleep(POLL_INTERVAL)
+
+
+def newest_version(addresses: Sequence[str]) -> dict[str, Any]:
+    """Returns the newest version that any replica serves, with its document if it has one.
+
+    Raises `FailedError`."""
+    available = [status for status in statuses(addresses) if not status.failure]
+    available.sort(key=lambda status: -status.number)
+    last_error = "no replica answers"
+    for status in available:
         try:
             reply = call(status.address, "GET", "/configuration?after=0")
         except UnreachableError as error:
-            wrong = str(error)
+            last_error = str(error)
             continue
         if reply.status == 200:
             return reply.body
-        wrong = f"{status.replica}: {reply.text}"
-    raise FailedError(wrong)
+        last_error = f"{status.replica}: {reply.text}"
+    raise FailedError(last_error)
--- a/violetsaddle/control/server.py
+++ b/violetsaddle/control/server.py
@@ -310,7 +310,7 @@
         home = self._home
         home.counters.add("watches")
         if node:
-            home.registry.heard(node, after, refused, why, home.deadlines.now())
+            home.registry.watch_opened(node, after, refused, why, home.deadlines.now())
         self._open[watch] = None
         connection.watch = watch
         if home.service.newest().number > after or not wait or home.closing:
@@ -326,7 +326,7 @@
         watch.connection.watch = None
         self._home.deadlines.drop(watch.late)
         if watch.node:
-            self._home.registry.watch_over(watch.node, self._home.deadlines.now())
+            self._home.registry.watch_closed(watch.node, self._home.deadlines.now())
         return True
 
     def end(self, watch: Watch) -> None:
