--- a/tests/test_subscription.py
+++ b/tests/test_subscription.py
@@ -109,7 +109,7 @@
     def test_each_phase_has_transitions(self) -> None:
         self.assertEqual(set(TRANSITIONS), set(Phase))
         for phase in (Phase.LONG_POLL, Phase.SHORT_POLL):
-            self.assertGreaterEqual(set(TRANSITIONS[phase]) | {EventType.DUE}, set(EventType))
+            self.assertGreaterEqual(set(TRANSITIONS[phase]) | {EventType.WAKE}, set(EventType))
 
 
 class StepTest(unittest.TestCase):
@@ -124,14 +124,14 @@
 
     def wait(self) -> Step:
         self.now = self.state.due
-        return self.do(EventType.DUE)
+        return self.do(EventType.WAKE)
 
     def test_the_ordinal_selects_the_first_replica(self) -> None:
-        self.assertEqual(self.do(EventType.DUE).poll, Poll(1, 7, True))
-        self.assertEqual(self.do(EventType.DUE), Step(self.state), "one poll at a time")
+        self.assertEqual(self.do(EventType.WAKE).poll, Poll(1, 7, True))
+        self.assertEqual(self.do(EventType.WAKE), Step(self.state), "one poll at a time")
 
     def test_only_a_newer_version_is_applied(self) -> None:
-        self.do(EventType.DUE)
+        self.do(EventType.WAKE)
         self.assertTrue(self.do(EventType.NEW_VERSION, 8).apply)
         self.assertLessEqual(self.state.due, self.now + MAX_PAUSE)
         self.assertEqual(self.wait().poll, Poll(1, 8, True))
@@ -141,7 +141,7 @@
             self.wait()
 
     def test_an_unusable_version_is_not_polled_for_again(self) -> None:
-        self.do(EventType.DUE)
+        self.do(EventType.WAKE)
         self.assertFalse(self.do(EventType.UNUSABLE_VERSION, 9).apply)
         self.assertEqual((self.state.number, self.state.seen), (7, 9))
         self.assertEqual(self.wait().poll, Poll(1, 7, True))
@@ -156,7 +156,7 @@
         self.assertFalse(self.do(EventType.NEW_VERSION, 8).apply, "older than a version that was refused")
 
     def test_the_first_failure_retries_at_once_and_later_ones_back_off(self) -> None:
-        self.do(EventType.DUE)
+        self.do(EventType.WAKE)
         self.do(EventType.FAILED)
         self.assertEqual((self.state.replica, self.state.due), (2, self.now))
         waits = []
@@ -171,7 +171,7 @@
         self.assertEqual(self.state.failures, 0)
 
     def test_a_failed_replica_is_skipped_for_a_while(self) -> None:
-        self.do(EventType.DUE)
+        self.do(EventType.WAKE)
         self.do(EventType.FAILED)  # 1
         asked = []
         end = self.now + FAILED_REPLICA_COOLDOWN
@@ -190,7 +190,7 @@
         self.assertEqual(set(asked) - {1}, {0, 2}, "each in turn")
 
     def test_a_replica_that_holds_no_poll_is_polled_with_pauses(self) -> None:
-        self.do(EventType.DUE)
+        self.do(EventType.WAKE)
         self.now += SECOND // 2 - 1
         self.do(EventType.NO_VERSION, 7)
         self.assertEqual((self.state.due - self.now, self.state.failures), (EARLY_ANSWER_PAUSE, 0))
@@ -200,12 +200,12 @@
         self.assertLessEqual(self.state.due - self.now, MAX_PAUSE)
 
     def test_a_replica_that_is_behind_counts_as_failed(self) -> None:
-        self.do(EventType.DUE)
+        self.do(EventType.WAKE)
         self.do(EventType.NO_VERSION, 6)
         self.assertEqual((self.state.replica, self.state.due, self.state.number), (2, self.now, 7))
 
     def test_an_advertised_version_is_polled_for(self) -> None:
-        self.do(EventType.DUE)
+        self.do(EventType.WAKE)
         self.assertIsNone(self.do(EventType.ADVERTISED, 7).poll)
         self.do(EventType.ADVERTISED, 9, random_value=0.25)
         self.assertEqual(self.state.due, self.now + 100 * ADVERTISED_DELAY_PER_NODE // 4)
@@ -221,7 +221,7 @@
         self.assertEqual(self.wait().poll, Poll(0, 9, True))
 
     def test_an_advertised_version_that_no_replica_has(self) -> None:
-        self.do(EventType.DUE)
+        self.do(EventType.WAKE)
         self.do(EventType.ADVERTISED, 1000)
         polls = [self.wait().poll]
         while len(polls) < 12:
@@ -236,7 +236,7 @@
             self.assertTrue(5 + 0.9 * most < state.due <= 5 + most)
 
     def test_stop_cancels_the_poll_and_ignores_later_events(self) -> None:
-        self.do(EventType.DUE)
+        self.do(EventType.WAKE)
         self.assertTrue(self.do(EventType.STOP).cancel_poll)
         for event, number in events():
             self.assertEqual(self.do(event, number), Step(self.state))
@@ -274,7 +274,7 @@
                 if now < commit <= state.due:
                     replicas.numbers = [0 if behind and n in wrong else 1 for n in range(3)]
                 now = max(now, state.due)
-                result = step(state, rules, EventType.DUE, now, rng.random())
+                result = step(state, rules, EventType.WAKE, now, rng.random())
                 assert result.poll is not None
                 state = result.state
                 wait, event, number = replicas.answer(result.poll, self.WATCH, self.WATCH + self.GRACE)
--- a/violetsaddle/decide/subscription.py
+++ b/violetsaddle/decide/subscription.py
@@ -57,7 +57,7 @@
 class EventType(enum.Enum):
     """The events of a subscription."""
 
-    DUE = "`State.due` has passed"
+    WAKE = "`State.due` has passed"
     NEW_VERSION = "an answer with a version that this node can use"
     UNUSABLE_VERSION = "an answer with a version that this node can't use"
     NO_VERSION = "an answer without a version; the number is the replica's newest"
@@ -81,7 +81,7 @@
     number: int  # of the version in force
     seen: int  # the highest number that was applied or refused
     replica: int  # polled now, or next
-    due: int  # when the event `DUE` is wanted; 0: never
+    due: int  # when the event `WAKE` is wanted; 0: never
     failures: int = 0  # polls in a row that brought no answer, or an older version
     advertised: int = 0  # the highest number that another node has advertised
     skipped_until: tuple[int, ...] = ()  # by replica
@@ -154,7 +154,7 @@
     )
 
 
-def _on_due(state: State, rules: Rules, event: EventData) -> Step:
+def _on_wake(state: State, rules: Rules, event: EventData) -> Step:
     if not 0 < state.due <= event.now:
         return Step(state)
     if state.phase is Phase.IDLE:
@@ -239,8 +239,8 @@
     EventType.STOP: _on_stop,
 }
 TRANSITIONS: dict[Phase, dict[EventType, Transition]] = {
-    Phase.IDLE: {EventType.DUE: _on_due, EventType.ADVERTISED: _on_advertised, EventType.STOP: _on_stop},
-    Phase.LONG_POLL: {**_POLL_TRANSITIONS, EventType.DUE: _on_due},
+    Phase.IDLE: {EventType.WAKE: _on_wake, EventType.ADVERTISED: _on_advertised, EventType.STOP: _on_stop},
+    Phase.LONG_POLL: {**_POLL_TRANSITIONS, EventType.WAKE: _on_wake},
     Phase.SHORT_POLL: _POLL_TRANSITIONS,
     Phase.STOPPED: {},
 }
--- a/violetsaddle/net/configuration.py
+++ b/violetsaddle/net/configuration.py
@@ -238,7 +238,7 @@
         self._wake = deadlines.add(state.due, self._due) if state is not None and state.due else None
 
     def _due(self) -> None:
-        self._step(EventType.DUE)
+        self._step(EventType.WAKE)
 
     def _say(self, text: str) -> None:
         """A line, unless it was the last one."""
