--- a/violetsaddle/control/__init__.py
+++ b/violetsaddle/control/__init__.py
@@ -1,2 +1,3 @@
-"""The control process: one of three replicas that hold the versions of the configuration durably and tell
-nodes of them.  Imported only by its own commands; a node never imports it."""
+"""The control process: one of three replicas that store configuration versions and serve them to nodes.
+
+Only the commands of the control process import this package, and nodes never do."""
--- a/violetsaddle/control/run.py
+++ b/violetsaddle/control/run.py
@@ -1,4 +1,4 @@
-"""Starts one control process: checks its arguments, opens its store, and runs it until SIGTERM."""
+"""Runs a control process: checks its arguments, opens its store, and serves until SIGTERM."""
 
 from __future__ import annotations
 
@@ -15,7 +15,7 @@
 from twisted.logger import globalLogBeginner
 
 from violetsaddle import settings
-from violetsaddle.control.driver import Driver, Written
+from violetsaddle.control.driver import Driver, WorkCallback
 from violetsaddle.control.server import ControlFactory
 from violetsaddle.control.store import StepHook, Store, StoreError, ignore_step
 from violetsaddle.control.transport import PeerLink
@@ -27,19 +27,19 @@
 from violetsaddle.net.deadlines import Deadlines, Reactor, SystemClock
 from violetsaddle.net.limits import MS, SECOND, SPARE_DESCRIPTORS, Limits
 
-MOST_NAME = 64  # characters of a replica's name
-FAREWELL = 2 * SECOND  # for writes under way and the last answers
-LOOK_EVERY = 20 * MS
+MAX_NAME_LENGTH = 64  # characters of a replica's name
+SHUTDOWN_TIMEOUT = 2 * SECOND  # for pending writes and the last answers
+SHUTDOWN_POLL_INTERVAL = 20 * MS
 
 
 class ArgumentError(Exception):
-    """An argument or file that can't be used; one line says why."""
+    """Raised for an argument or file that can't be used.  The message is one line."""
 
 
 def replica_name(text: str, key: str) -> str:
-    """A name that may stand in messages and logs; `key` names it in errors.  Raises `ArgumentError`."""
+    """Returns a valid replica name.  `key` names the option in errors.  Raises `ArgumentError`."""
     if (
-        not 0 < len(text) <= MOST_NAME
+        not 0 < len(text) <= MAX_NAME_LENGTH
         or not all(c.isalnum() or c in "-_." for c in text)
         or not text.isascii()
     ):
@@ -47,46 +47,48 @@
     return text
 
 
-def endpoint(text: str, key: str, least: int = 1) -> tuple[str, int]:
-    """`host:port`; `least`: the lowest port.  Raises `ArgumentError`."""
+def endpoint(text: str, key: str, min_port: int = 1) -> tuple[str, int]:
+    """Parses `host:port`.  `min_port` is the lowest valid port.  Raises `ArgumentError`."""
     host, _, port = text.rpartition(":")
-    if not host or not (port.isascii() and port.isdigit()) or not least <= int(port) < 65536:
+    if not host or not (port.isascii() and port.isdigit()) or not min_port <= int(port) < 65536:
         raise ArgumentError(f"{key}: expected host:port, not {text[:80]!r}")
     return host, int(port)
 
 
 def endpoints(name: str, peers: Sequence[str]) -> dict[str, tuple[str, int]]:
-    """Where the other two are, by name.  Raises `ArgumentError`."""
-    found: dict[str, tuple[str, int]] = {}
+    """Returns the addresses of the other two replicas by name.  Raises `ArgumentError`."""
+    addresses: dict[str, tuple[str, int]] = {}
     for peer in peers:
-        of, mark, at = peer.partition("=")
-        if not mark:
+        peer_name, separator, address = peer.partition("=")
+        if not separator:
             raise ArgumentError(f"--peer: expected NAME=host:port, not {peer[:80]!r}")
-        found[replica_name(of, "--peer")] = endpoint(at, "--peer")
-    if len(found) != 2 or len(peers) != 2 or name in found:
+        addresses[replica_name(peer_name, "--peer")] = endpoint(address, "--peer")
+    if len(addresses) != 2 or len(peers) != 2 or name in addresses:
         raise ArgumentError("--peer: expected the two other replicas, each by a name of its own")
-    return found
+    return addresses
 
 
 def baseline(path: str) -> dict[str, Any]:
-    """Version 0: what all nodes' settings have in common.  Raises `ArgumentError`."""
+    """Reads version 0, the settings that all nodes share, from a node's configuration file.
+
+    Raises `ArgumentError`."""
     try:
         with open(path, encoding="utf-8") as file:
             table = json.load(file)
     except (OSError, ValueError, RecursionError) as error:
         raise ArgumentError(f"--settings: {path}: {getattr(error, 'strerror', None) or error}") from None
-    found = table.get("settings") if isinstance(table, dict) else None
-    if not isinstance(found, dict):
+    node_settings = table.get("settings") if isinstance(table, dict) else None
+    if not isinstance(node_settings, dict):
         raise ArgumentError(f"--settings: {path}: expected a node's configuration with an object `settings`")
     try:
-        settings.read(found)
+        settings.read(node_settings)
     except SettingsError as error:
         raise ArgumentError(f"--settings: {path}: {error}") from None
-    return baseline_of(found)
+    return baseline_of(node_settings)
 
 
 def durable(store: Store) -> Durable | None:
-    """What the replica wrote last; raises `StoreError`."""
+    """Returns the state that the replica wrote last, None if there is none.  Raises `StoreError`."""
     data = store.state()
     if data is None:
         return None
@@ -97,7 +99,7 @@
 
 
 class Control:
-    """One replica with everything round it."""
+    """A control process: one replica with its server, store and links."""
 
     def __init__(
         self,
@@ -106,17 +108,17 @@
         listen: tuple[str, int],
         peers: dict[str, tuple[str, int]],
         store: Store,
-        told: dict[str, Any],
+        baseline_settings: dict[str, Any],
         new: bool,
     ) -> None:
-        """Raises `StoreError`."""
-        held = durable(store)
+        """`baseline_settings` are the settings of version 0.  Raises `StoreError`."""
+        stored = durable(store)
         self._reactor, self._listen, self._store = reactor, listen, store
-        clock, chance = SystemClock(), SystemRandom()
+        clock, random = SystemClock(), SystemRandom()
         self.counters = Counters(name)
         self._deadlines = Deadlines(reactor, clock, self.counters.fault)
-        files = resource.getrlimit(resource.RLIMIT_NOFILE)[0]
-        usable = max(16, files - SPARE_DESCRIPTORS)
+        descriptors = resource.getrlimit(resource.RLIMIT_NOFILE)[0]
+        usable = max(16, descriptors - SPARE_DESCRIPTORS)
         limits = Limits(
             edge_connections=usable, server_connections=len(peers), server_idle=SECOND, dial=SECOND
         )
@@ -124,19 +126,27 @@
             peer: PeerLink(reactor, self._deadlines, limits, self.counters, host, port)
             for peer, (host, port) in peers.items()
         }
-        state = new_replica(name, tuple(sorted(peers)), held, chance.getrandbits(32), new)
+        state = new_replica(name, tuple(sorted(peers)), stored, random.getrandbits(32), new)
         self._driver = Driver(
-            state, store, self._links, self._deadlines, clock, self.counters, told, chance, self._aside
+            state,
+            store,
+            self._links,
+            self._deadlines,
+            clock,
+            self.counters,
+            baseline_settings,
+            random,
+            self._run_in_thread,
         )
         self._factory = ControlFactory(self._driver, limits, self._deadlines, self.counters)
-        self._driver.on_commit = self._factory.watches.wake
+        self._driver.on_commit = self._factory.watches.notify
         self.counters.held = lambda: {
             "connections": len(self._factory.connections),
             "watches": len(self._factory.watches),
         }
-        self._held, self._port, self._stopping = held, cast(Any, None), False
+        self._stored, self._port, self._stopping = stored, cast(Any, None), False
 
-    def _aside(self, work: Callable[[], None], done: Written) -> None:
+    def _run_in_thread(self, work: Callable[[], None], done: WorkCallback) -> None:
         reactor = self._reactor
 
         def run() -> None:
@@ -150,33 +160,33 @@
         reactor.callInThread(run)
 
     def start(self) -> None:
-        """Raises `CannotListenError`."""
+        """Listens and starts the replica.  Raises `CannotListenError`."""
         host, port = self._listen
         self._port = self._reactor.listenTCP(port, self._factory, 511, host)
-        at = self._port.getHost()
-        number = self._held.number if self._held is not None else 0
-        what = "an empty store" if self._held is None else f"version {number}"
+        address = self._port.getHost()
+        number = self._stored.number if self._stored is not None else 0
+        contents = "an empty store" if self._stored is None else f"version {number}"
         self.counters.most("version", number)
-        self.counters.say(f"listening on {at.host}:{at.port}, {self._driver.state}, {what}")
+        self.counters.say(f"listening on {address.host}:{address.port}, {self._driver.state}, {contents}")
         self._driver.start()
 
     def stop(self) -> None:
-        """Takes nothing new, answers what is owed, and ends the program."""
+        """Stops listening, sends the pending answers, and stops the reactor."""
         if self._stopping:
             return
         self._stopping = True
         self.counters.say("stopping")
         self._port.stopListening()
         self._factory.close()
-        self._look(self._deadlines.now() + FAREWELL)
+        self._finish_when_idle(self._deadlines.now() + SHUTDOWN_TIMEOUT)
 
-    def _look(self, until: int) -> None:
-        if self._factory.connections and self._deadlines.now() < until:
-            self._deadlines.after(LOOK_EVERY, lambda: self._look(until))
+    def _finish_when_idle(self, deadline: int) -> None:
+        if self._factory.connections and self._deadlines.now() < deadline:
+            self._deadlines.after(SHUTDOWN_POLL_INTERVAL, lambda: self._finish_when_idle(deadline))
             return
-        self._driver.end()
+        self._driver.stop()
         for link in self._links.values():
-            link.end()
+            link.close()
         for connection in list(self._factory.connections):
             connection.abort()
         self._reactor.stop()
@@ -191,26 +201,26 @@
     new: bool,
     step: StepHook = ignore_step,
 ) -> int:
-    """Runs a replica and gives the program's status; `step`: see `Store`."""
+    """Runs a replica and returns the exit status.  `step`: see `Store`."""
     try:
         replica_name(name, "--name")
-        at, others = endpoint(listen, "--listen", least=0), endpoints(name, peers)
-        told = baseline(settings_file)
+        address, others = endpoint(listen, "--listen", min_port=0), endpoints(name, peers)
+        baseline_settings = baseline(settings_file)
     except ArgumentError as error:
         print(f"violetsaddle: {error}".replace("\n", " "), file=sys.stderr)
         return 2
     try:
-        opened = Store(store, name, step)
+        opened_store = Store(store, name, step)
     except StoreError as error:
         print(f"violetsaddle: --store: {error}".replace("\n", " "), file=sys.stderr)
         return 1
     try:
-        return _run(name, at, others, opened, told, new)
+        return _run(name, address, others, opened_store, baseline_settings, new)
     except StoreError as error:
         print(f"violetsaddle: --store: {error}".replace("\n", " "), file=sys.stderr)
         return 1
     finally:
-        opened.close()
+        opened_store.close()
 
 
 def _run(
@@ -218,16 +228,16 @@
     listen: tuple[str, int],
     peers: dict[str, tuple[str, int]],
     store: Store,
-    told: dict[str, Any],
+    baseline_settings: dict[str, Any],
     new: bool,
 ) -> int:
-    from violetsaddle.net import reactor as own
+    from violetsaddle.net import reactor as own_reactor
 
-    own.install()
+    own_reactor.install()
     from twisted.internet import reactor
 
-    running: Reactor = reactor
-    control = Control(running, name, listen, peers, store, told, new)
+    running_reactor: Reactor = reactor
+    control = Control(running_reactor, name, listen, peers, store, baseline_settings, new)
 
     def observe(event: dict[str, Any]) -> None:
         failure = event.get("log_failure")
@@ -237,17 +247,17 @@
     observer: Any = observe
     globalLogBeginner.beginLoggingTo([observer], redirectStandardIO=False, discardBuffer=True)
     signal.signal(signal.SIGHUP, signal.SIG_IGN)
-    for number, what in (
+    for signal_number, handler in (
         (signal.SIGTERM, control.stop),
         (signal.SIGINT, control.stop),
         (signal.SIGUSR1, control.counters.show),
     ):
-        signal.signal(number, lambda *_, what=what: running.callFromThread(what))
+        signal.signal(signal_number, lambda *_, handler=handler: running_reactor.callFromThread(handler))
     try:
         control.start()
     except CannotListenError as error:
         control.counters.say(f"listen: {error}")
         return 1
-    running.run(installSignalHandlers=False)
+    running_reactor.run(installSignalHandlers=False)
     control.counters.show()
     return 0
--- a/violetsaddle/control/server.py
+++ b/violetsaddle/control/server.py
@@ -1,6 +1,7 @@
-"""The HTTP side of the control process: nodes' watches, operators' writes and the other replicas' messages.
+"""HTTP server of the control process: watches of nodes, writes of operators and messages of other replicas.
 
-Whatever comes in is answered once, in turn; nothing that a client sends raises out of its handler."""
+Each request is answered exactly once, in the order of arrival.  Nothing that a client sends can raise an
+exception out of the handlers."""
 
 from __future__ import annotations
 
@@ -21,28 +22,28 @@
 from violetsaddle.net.deadlines import Deadline, Deadlines, Patience, Transport
 from violetsaddle.net.limits import MS, Limits
 
-MOST_BODY = 256 * 1024  # bytes of a request's body
-MOST_WAIT_MS = 60_000
-MOST_NUMBER = 1 << 53  # of versions: JSON's readers take larger ones for something else
-MOST_NAME = 256  # characters of a node's, an author's or a key's name
-MOST_WRITES = 16  # under way at once
-ENDING = 32  # connections beyond the limit, while others end for them
+MAX_BODY_BYTES = 256 * 1024  # of a request
+MAX_WAIT_MS = 60_000
+MAX_VERSION_NUMBER = 1 << 53  # JSON parsers that use floats round larger numbers
+MAX_NAME_LENGTH = 256  # characters; for nodes, authors and keys
+MAX_CONCURRENT_WRITES = 16
+MAX_CLOSING_CONNECTIONS = 32  # these don't count towards the limit; beyond 32 the oldest is aborted
 REASONS = {**http.REASONS, 409: "Conflict", 422: "Unprocessable Content"}
 METHODS = {"/configuration": "GET, POST", "/configuration/status": "GET", "/replica": "POST"}
 
 
 class Answer(NamedTuple):
-    """An HTTP answer: its status, and JSON."""
+    """An HTTP answer: the status and a JSON body."""
 
     status: int
     body: bytes = b""
 
 
-Done: TypeAlias = Callable[[Answer], None]
+AnswerCallback: TypeAlias = Callable[[Answer], None]
 
 
-class Write(msgspec.Struct, frozen=True):
-    """A writer's document: it shall follow version `base`."""
+class WriteRequest(msgspec.Struct, frozen=True):
+    """A request to write `document` as the successor of version `base`."""
 
     base: int
     author: str
@@ -51,45 +52,45 @@
 
 
 class Newest(NamedTuple):
-    """The newest committed version, or number 0 where there is none; `whole`: the body that holds it."""
+    """The newest committed version, number 0 if there is none.  `body` is the answer that contains it."""
 
     number: int
     digest: str
-    whole: bytes
+    body: bytes
 
 
 class BadRequestError(Exception):
-    """A request that is answered at once with one clear error."""
+    """Raised for a request that is answered with an error."""
 
     def __init__(self, status: int, error: str, text: str) -> None:
-        """`error`: its name, for programs; `text`: for people."""
+        """`error` is the name of the error, for programs.  `text` is for people."""
         super().__init__(text)
-        self.answer = refusal(status, error, text)
+        self.answer = error_answer(status, error, text)
 
 
 class Service(Protocol):
-    """What stands behind the server."""
+    """The replica behind the server."""
 
     def newest(self) -> Newest:
-        """The newest committed version."""
+        """Returns the newest committed version."""
 
-    def write(self, write: Write, done: Done) -> None:
-        """Calls `done` once, now or later."""
+    def write(self, write: WriteRequest, done: AnswerCallback) -> None:
+        """Proposes a version.  Calls `done` exactly once, before or after the return."""
 
-    def message(self, body: bytes) -> bool:
-        """Takes in another replica's message; False: it is none."""
+    def receive(self, body: bytes) -> bool:
+        """Processes a message of another replica.  Returns False if the message is invalid."""
 
     def status(self, nodes: list[Node]) -> bytes:
-        """What is known of replicas and these nodes, as JSON."""
+        """Returns the status of the replicas and of `nodes` as JSON."""
 
 
-def refusal(status: int, error: str, text: str, **more: object) -> Answer:
-    """An error as clients read it."""
+def error_answer(status: int, error: str, text: str, **more: object) -> Answer:
+    """Returns an error in the form that clients read.  `more` is added to its JSON object."""
     return Answer(status, msgspec.json.encode({"error": error, **more, "text": text}))
 
 
-def encoded(status: int, body: bytes, close: bool, allow: str = "") -> bytes:
-    """An answer's bytes."""
+def encode_response(status: int, body: bytes, close: bool, allow: str = "") -> bytes:
+    """Encodes an HTTP response.  `allow` is the value of the Allow header, "" for none."""
     lines = [f"HTTP/1.1 {status} {REASONS.get(status, 'Unknown')}"]
     if status != 204:
         lines += [f"Content-Length: {len(body)}", "Content-Type: application/json"]
@@ -100,346 +101,358 @@
     return "\r\n".join([*lines, "", ""]).encode("latin-1") + body
 
 
-def whole(query: dict[str, str], key: str, most: int) -> int:
-    """A number from 0 on; 0 where it is not given.  Raises `BadRequestError`."""
+def number_parameter(query: dict[str, str], key: str, maximum: int) -> int:
+    """Returns a whole number from 0 to `maximum`, 0 if it is not given.  Raises `BadRequestError`."""
     text = query.get(key, "0")
-    if not (text.isascii() and text.isdigit() and len(text) <= 16 and int(text) <= most):
+    if not (text.isascii() and text.isdigit() and len(text) <= 16 and int(text) <= maximum):
         raise BadRequestError(
-            400, "query", f"{key}: expected a whole number from 0 to {most}, not {text[:40]!r}"
+            400, "query", f"{key}: expected a whole number from 0 to {maximum}, not {text[:40]!r}"
         )
     return int(text)
 
 
-def name(query: dict[str, str], key: str) -> str:
-    """A name without control characters; "" where it is not given.  Raises `BadRequestError`."""
+def name_parameter(query: dict[str, str], key: str) -> str:
+    """Returns a name of printable characters, "" if it is not given.  Raises `BadRequestError`."""
     text = query.get(key, "")
-    if len(text) > MOST_NAME or not text.isprintable():
-        raise BadRequestError(400, "query", f"{key}: expected a name of at most {MOST_NAME} characters")
+    if len(text) > MAX_NAME_LENGTH or not text.isprintable():
+        raise BadRequestError(400, "query", f"{key}: expected a name of at most {MAX_NAME_LENGTH} characters")
     return text
 
 
 class ControlConnection(Connection):
-    """One client's connection; it carries one request at a time."""
+    """A connection of a client.  It processes one request at a time."""
 
     transport: Transport
 
-    def __init__(self, home: ControlFactory) -> None:
-        """`home`: what it shares with all others."""
-        self._home, self._limits = home, home.limits
-        self._parser = http.Parser(home.limits, MOST_BODY)
-        self._awaited = False  # an answer is owed
-        self._last = False  # it is the connection's last
+    def __init__(self, factory: ControlFactory) -> None:
+        """`factory` holds the state that all connections share."""
+        self._factory, self._limits = factory, factory.limits
+        self._parser = http.Parser(factory.limits, MAX_BODY_BYTES)
+        self._answer_pending = False  # a request has not been answered yet
+        self._is_last_answer = False  # the connection closes after the next answer
         self._closing = False
         self._lost = False
-        self._reading = False
-        self._continued = False
-        self._first = True
-        self._patience = Patience(home.deadlines, self._timed_out)
-        self.since = home.deadlines.now()  # of its last request or answer
+        self._parsing = False
+        self._continue_sent = False
+        self._awaiting_first_request = True
+        self._timeout = Patience(factory.deadlines, self._timed_out)
+        self.active_at = factory.deadlines.now()  # time of the last request or answer
         self.watch: Watch | None = None
 
     @property
     def idle(self) -> bool:
-        """It owes no answer, and no part of a request has come."""
-        return not self._awaited and not self._parser.held and not self._closing
+        """Whether no answer is pending and no part of a request was received."""
+        return not self._answer_pending and not self._parser.held and not self._closing
 
     @property
-    def ending(self) -> bool:
-        """Its last answer is out."""
+    def closing(self) -> bool:
+        """Whether the last answer was sent."""
         return self._closing
 
     def connectionMade(self) -> None:
-        """The first request is waited for."""
+        """Registers the connection and waits for the first request."""
         self.transport.setTcpNoDelay(True)
-        self._home.connections[self] = None
-        self._home.counters.add("connections")
+        self._factory.connections[self] = None
+        self._factory.counters.add("connections")
         self._wait(self._limits.edge_first)
 
     def connectionLost(self, reason: Failure = connectionDone) -> None:
-        """A watch on it ends without an answer."""
+        """Removes the connection, and its watch without an answer."""
         self._lost = True
-        self._patience.end()
-        self._home.connections.pop(self, None)
+        self._timeout.end()
+        self._factory.connections.pop(self, None)
         if self.watch is not None:
-            self._home.watches.over(self.watch)
+            self._factory.watches.remove(self.watch)
 
     def _wait(self, wait: int) -> None:
-        self.since = self._home.deadlines.now()
+        self.active_at = self._factory.deadlines.now()
         if not self._lost:
-            self._patience.set(wait)
+            self._timeout.set(wait)
 
     def _timed_out(self) -> None:
         if self._closing or not self._parser.held:
             self.abort()
         else:
-            self._answer(refusal(408, "late", "the request did not come whole in time"), last=True)
+            self._answer(error_answer(408, "late", "the request did not come whole in time"), last=True)
 
     def abort(self) -> None:
-        """Ends at once, whatever is owed."""
+        """Closes the connection immediately, even if an answer is pending."""
         self._closing = True
-        self._home.connections.pop(self, None)
+        self._factory.connections.pop(self, None)
         self.transport.abortConnection()
 
     def dataReceived(self, data: bytes) -> None:
-        """Never raises: what can't be read is answered, and a fault of ours ends the connection."""
+        """Never raises.  Malformed input is answered, and an internal error closes the connection."""
         if self._closing:
-            return  # read and passed over, so that no reset overtakes the answer
+            return  # discarded: closing with unread data would reset the connection before the answer arrives
         try:
-            fresh = not self._parser.held
+            new_request = not self._parser.held
             self._parser.feed(data)
-            if not self._awaited:
-                self._take_in(fresh)
-            elif self._parser.held > MOST_BODY + self._limits.head:
-                self.abort()  # what a client sends ahead has bounds
+            if not self._answer_pending:
+                self._process_input(new_request)
+            elif self._parser.held > MAX_BODY_BYTES + self._limits.head:
+                self.abort()  # limits how much a client may send ahead
         except Exception as error:
-            self._home.counters.fault("a connection failed", error)
+            self._factory.counters.fault("a connection failed", error)
             self.abort()
 
-    def _take_in(self, fresh: bool) -> None:
-        if self._reading:
+    def _process_input(self, new_request: bool) -> None:
+        if self._parsing:
             return
-        self._reading = True
+        self._parsing = True
         try:
-            while not self._awaited and not self._closing and not self._lost:
+            while not self._answer_pending and not self._closing and not self._lost:
                 message = self._parser.next()
                 if message is None:
-                    if self._parser.held and fresh and not self._first:
+                    if self._parser.held and new_request and not self._awaiting_first_request:
                         self._wait(self._limits.edge_read)
-                    if self._parser.wants_continue and not self._continued:
-                        self._continued = True
+                    if self._parser.wants_continue and not self._continue_sent:
+                        self._continue_sent = True
                         self.transport.write(http.CONTINUE)
                     return
-                self._first, self._continued, fresh = False, False, True
-                self._last = not message.keeps_alive or self._home.closing
-                self._awaited = True
-                self._patience.rest()
-                self._request(message)
+                self._awaiting_first_request, self._continue_sent, new_request = False, False, True
+                self._is_last_answer = not message.keeps_alive or self._factory.closing
+                self._answer_pending = True
+                self._timeout.rest()
+                self._dispatch(message)
         except http.MalformedError as error:
-            self._home.counters.add("bad_messages")
-            self._answer(refusal(error.status, "http", error.text), last=True)
+            self._factory.counters.add("bad_messages")
+            self._answer(error_answer(error.status, "http", error.text), last=True)
         finally:
-            self._reading = False
+            self._parsing = False
 
-    def _request(self, message: http.Message) -> None:
+    def _dispatch(self, message: http.Message) -> None:
         path, _, query = message.start[1].partition("?")
         allowed, method = METHODS.get(path), message.start[0]
         try:
             if allowed is None:
                 raise BadRequestError(404, "path", "there is nothing at this path")
             if method not in allowed.split(", "):
-                self._answer(refusal(405, "method", f"only {allowed} here"), allow=allowed)
+                self._answer(error_answer(405, "method", f"only {allowed} here"), allow=allowed)
             elif path == "/replica":
-                if not self._home.service.message(bytes(message.body)):
+                if not self._factory.service.receive(bytes(message.body)):
                     raise BadRequestError(400, "message", "no message of another replica")
                 self._answer(Answer(204))
             elif path == "/configuration/status":
-                nodes = self._home.registry.nodes(self._home.deadlines.now())
-                self._answer(Answer(200, self._home.service.status(nodes)))
+                nodes = self._factory.registry.nodes(self._factory.deadlines.now())
+                self._answer(Answer(200, self._factory.service.status(nodes)))
             elif method == "GET":
-                self._home.watches.open(self, dict(parse_qsl(query, keep_blank_values=True)))
+                self._factory.watches.open(self, dict(parse_qsl(query, keep_blank_values=True)))
             else:
-                self._home.write(bytes(message.body), self.answer)
+                self._factory.write(bytes(message.body), self.answer)
         except BadRequestError as error:
             self._answer(error.answer)
 
     def answer(self, answer: Answer) -> None:
-        """The answer that is owed; then what has come meanwhile is read."""
+        """Sends the pending answer, then processes the input that arrived meanwhile."""
         self._answer(answer)
-        if self._parser.held and not self._reading and not self._closing and not self._lost:
+        if self._parser.held and not self._parsing and not self._closing and not self._lost:
             try:
-                self._take_in(fresh=True)
+                self._process_input(new_request=True)
             except Exception as error:
-                self._home.counters.fault("a connection failed", error)
+                self._factory.counters.fault("a connection failed", error)
                 self.abort()
 
     def _answer(self, answer: Answer, allow: str = "", last: bool = False) -> None:
         if self._lost or self._closing:
             return
-        self._awaited = False
-        self._home.counters.add(f"answer_{answer.status}")
-        last = last or self._last
-        self.transport.write(encoded(answer.status, answer.body, last, allow))
+        self._answer_pending = False
+        self._factory.counters.add(f"answer_{answer.status}")
+        last = last or self._is_last_answer
+        self.transport.write(encode_response(answer.status, answer.body, last, allow))
         if last:
-            # Our side alone: a close over unread bytes would reset the connection and take the answer along.
+            # Closes only the sending side.  Closing with unread data would reset the connection and lose the
+            # answer.
             self._closing = True
             self.transport.loseWriteConnection()
             self._wait(self._limits.drain)
         else:
             self._wait(self._limits.edge_idle)
 
-    def close_soon(self) -> None:
-        """An idle one closes; one that waits for an answer gets it first."""
-        self._last = True
+    def close_after_answer(self) -> None:
+        """Closes the connection, after the pending answer if there is one."""
+        self._is_last_answer = True
         if self.watch is not None:
-            self._home.watches.end(self.watch)
+            self._factory.watches.finish(self.watch)
         elif self.idle:
             self._closing = True
             self.transport.loseConnection()
 
 
 class Watch:
-    """One that waits for a version after `after`."""
+    """A request that waits for a version after `after`."""
 
-    __slots__ = ("connection", "after", "node", "late")
+    __slots__ = ("connection", "after", "node", "timer")
 
     def __init__(self, connection: ControlConnection, after: int, node: str) -> None:
-        """`node`: who watches, "" for nobody in particular."""
+        """`node` is the name of the watching node, "" if it gave none."""
         self.connection, self.after, self.node = connection, after, node
-        self.late: Deadline | None = None
+        self.timer: Deadline | None = None
 
 
 class Watches:
-    """All open watches."""
+    """The open watches of a server."""
 
-    def __init__(self, home: ControlFactory) -> None:
-        """`home`: whose connections they are on."""
-        self._home = home
+    def __init__(self, factory: ControlFactory) -> None:
+        """`factory` accepts the connections of the watches."""
+        self._factory = factory
         self._open: dict[Watch, None] = {}
 
     def __len__(self) -> int:
-        """Those that wait."""
+        """Returns the number of open watches."""
         return len(self._open)
 
     def open(self, connection: ControlConnection, query: dict[str, str]) -> None:
-        """Answers at once or later; raises `BadRequestError`."""
-        after, wait = whole(query, "after", MOST_NUMBER), min(whole(query, "wait_ms", 1 << 40), MOST_WAIT_MS)
-        refused, node = whole(query, "refused", MOST_NUMBER), name(query, "node")
-        # Only shown: a node must not miss a version because of a key's name.
-        why = "".join(c if c.isprintable() else "?" for c in query.get("why", "")[:MOST_NAME])
+        """Opens a watch, and answers it now or later.  Raises `BadRequestError`."""
+        after = number_parameter(query, "after", MAX_VERSION_NUMBER)
+        wait = min(number_parameter(query, "wait_ms", 1 << 40), MAX_WAIT_MS)
+        refused, node = number_parameter(query, "refused", MAX_VERSION_NUMBER), name_parameter(query, "node")
+        # Made printable instead of refused: a node must not miss a version because of the name of a key.
+        why = "".join(c if c.isprintable() else "?" for c in query.get("why", "")[:MAX_NAME_LENGTH])
         watch = Watch(connection, after, node)
-        home = self._home
-        home.counters.add("watches")
+        factory = self._factory
+        factory.counters.add("watches")
         if node:
-            home.registry.watch_opened(node, after, refused, why, home.deadlines.now())
+            factory.registry.watch_opened(node, after, refused, why, factory.deadlines.now())
         self._open[watch] = None
         connection.watch = watch
-        if home.service.newest().number > after or not wait or home.closing:
-            self.end(watch)
+        if factory.service.newest().number > after or not wait or factory.closing:
+            self.finish(watch)
         else:
-            watch.late = home.deadlines.after(wait * MS, lambda: self.end(watch))
+            watch.timer = factory.deadlines.after(wait * MS, lambda: self.finish(watch))
 
-    def over(self, watch: Watch) -> bool:
-        """It waits no longer; False: it did not."""
+    def remove(self, watch: Watch) -> bool:
+        """Removes a watch.  Returns False if it was not open."""
         if watch not in self._open:
             return False
         del self._open[watch]
         watch.connection.watch = None
-        self._home.deadlines.drop(watch.late)
+        self._factory.deadlines.drop(watch.timer)
         if watch.node:
-            self._home.registry.watch_closed(watch.node, self._home.deadlines.now())
+            self._factory.registry.watch_closed(watch.node, self._factory.deadlines.now())
         return True
 
-    def end(self, watch: Watch) -> None:
-        """Answers with what there is now."""
-        if self.over(watch):
-            newest = self._home.service.newest()
+    def finish(self, watch: Watch) -> None:
+        """Answers a watch with the newest version."""
+        if self.remove(watch):
+            newest = self._factory.service.newest()
             if newest.number > watch.after:
-                watch.connection.answer(Answer(200, newest.whole))
+                watch.connection.answer(Answer(200, newest.body))
             else:
                 body = msgspec.json.encode({"number": newest.number, "digest": newest.digest})
                 watch.connection.answer(Answer(200, body))
 
-    def end_oldest(self) -> bool:
-        """Answers the watch that has waited longest, and closes its connection; False: there is none."""
+    def finish_oldest(self) -> bool:
+        """Answers the oldest watch and closes its connection.  Returns False if there is no watch."""
         for watch in self._open:
-            watch.connection.close_soon()
-            self._home.counters.add("watches_cut")
+            watch.connection.close_after_answer()
+            self._factory.counters.add("watches_cut")
             return True
         return False
 
-    def wake(self) -> None:
-        """A version was committed: those that wait for it are answered."""
-        number = self._home.service.newest().number
-        for watch in [w for w in self._open if w.after < number]:
-            self.end(watch)
+    def notify(self) -> None:
+        """Answers the watches that waited for the version that was just committed."""
+        number = self._factory.service.newest().number
+        for watch in [watch for watch in self._open if watch.after < number]:
+            self.finish(watch)
 
 
 class ControlFactory(Factory):
-    """Accepts connections.  At `limits.edge_connections` the longest idle one makes room, or the oldest
-    watch, so that replicas and operators come through whatever number of nodes watch."""
+    """Accepts connections.
+
+    At the limit `limits.edge_connections` it closes the connection that was idle for the longest time, or the
+    one with the oldest watch.  So replicas and operators can connect, however many nodes watch."""
 
     noisy = False
 
     def __init__(self, service: Service, limits: Limits, deadlines: Deadlines, counters: Counters) -> None:
-        """`service`: answers what is asked."""
+        """`service` is the replica that processes the requests."""
         self.service, self.limits, self.deadlines, self.counters = service, limits, deadlines, counters
         self.registry = NodeRegistry()
         self.watches = Watches(self)
         self.connections: dict[ControlConnection, None] = {}
         self.closing = False
-        self._writes = 0
+        self._concurrent_writes = 0
 
     def buildProtocol(self, addr: IAddress | None) -> ControlConnection | None:
-        """A connection that has come; None turns it away."""
-        if not self._room():
+        """Accepts a connection, or returns None to refuse it."""
+        if not self._make_room():
             self.counters.add("connections_refused")
             return None
         return ControlConnection(self)
 
-    def _room(self) -> bool:
-        """Whether there is room for one more, which may have to be made."""
-        ending = [c for c in self.connections if c.ending]
-        if len(ending) >= ENDING:
-            # The client has not gone yet: its answer has had the most time to arrive.
-            min(ending, key=lambda c: c.since).abort()
-        if len(self.connections) - len(ending) < self.limits.edge_connections:
+    def _make_room(self) -> bool:
+        """Returns whether one more connection fits, after closing another one if necessary."""
+        closing = [connection for connection in self.connections if connection.closing]
+        if len(closing) >= MAX_CLOSING_CONNECTIONS:
+            # Its client has not closed yet.  Of all answers, the oldest has had the most time to arrive.
+            min(closing, key=lambda connection: connection.active_at).abort()
+        if len(self.connections) - len(closing) < self.limits.edge_connections:
             return True
-        # A young one is about to ask.
-        young = self.deadlines.now() - self.limits.edge_settled
-        idle = [c for c in self.connections if c.idle and c.since < young]
+        # A connection that was just opened or used is about to send a request.
+        settled_before = self.deadlines.now() - self.limits.edge_settled
+        idle = [
+            connection
+            for connection in self.connections
+            if connection.idle and connection.active_at < settled_before
+        ]
         if not idle:
-            return self.watches.end_oldest()
-        min(idle, key=lambda c: c.since).abort()
+            return self.watches.finish_oldest()
+        min(idle, key=lambda connection: connection.active_at).abort()
         return True
 
-    def write(self, body: bytes, answer: Done) -> None:
-        """A writer's document; raises `BadRequestError`."""
+    def write(self, body: bytes, answer: AnswerCallback) -> None:
+        """Processes a write.  `answer` is called exactly once.  Raises `BadRequestError`."""
         self.counters.add("writes")
         try:
-            write = self._read(body)
+            write = self._parse_write(body)
         except BadRequestError:
             self.counters.add("writes_refused")
             raise
-        self._writes += 1
-        left = [True]
+        self._concurrent_writes += 1
+        holds_slot = [True]
 
-        def over() -> bool:
-            if not left:
+        def release_slot() -> bool:
+            if not holds_slot:
                 return False
-            left.clear()
-            self._writes -= 1
+            holds_slot.clear()
+            self._concurrent_writes -= 1
             return True
 
         def done(result: Answer) -> None:
-            if over():
+            if release_slot():
                 self.counters.add("writes_accepted" if result.status == 200 else "writes_refused")
                 answer(result)
 
         try:
             self.service.write(write, done)
         except Exception:
-            over()
+            release_slot()
             raise
 
-    def _read(self, body: bytes) -> Write:
+    def _parse_write(self, body: bytes) -> WriteRequest:
         try:
-            write = msgspec.json.decode(body, type=Write)
+            write = msgspec.json.decode(body, type=WriteRequest)
         except (msgspec.DecodeError, ValueError, RecursionError) as error:
             raise BadRequestError(400, "json", f"not a version to write: {error}"[:300]) from None
         if len(write.document.encode("utf-8", "surrogatepass")) > MAX_DOCUMENT_BYTES:
             raise BadRequestError(413, "long", f"the document is longer than {MAX_DOCUMENT_BYTES} bytes")
-        if not 0 <= write.base <= MOST_NUMBER:
-            raise BadRequestError(400, "json", f"base: expected a whole number from 0 to {MOST_NUMBER}")
-        if not write.author or len(write.author) > MOST_NAME or not write.author.isprintable():
-            raise BadRequestError(400, "json", f"author: expected a name of 1 to {MOST_NAME} characters")
-        if self._writes >= MOST_WRITES:
+        if not 0 <= write.base <= MAX_VERSION_NUMBER:
+            raise BadRequestError(
+                400, "json", f"base: expected a whole number from 0 to {MAX_VERSION_NUMBER}"
+            )
+        if not write.author or len(write.author) > MAX_NAME_LENGTH or not write.author.isprintable():
+            raise BadRequestError(
+                400, "json", f"author: expected a name of 1 to {MAX_NAME_LENGTH} characters"
+            )
+        if self._concurrent_writes >= MAX_CONCURRENT_WRITES:
             raise BadRequestError(
-                503, "busy", f"{MOST_WRITES} writes are under way at this replica: try again"
+                503, "busy", f"{MAX_CONCURRENT_WRITES} writes are under way at this replica: try again"
             )
         return write
 
     def close(self) -> None:
-        """Every connection ends with what it is owed."""
+        """Closes every connection after its pending answer."""
         self.closing = True
         for connection in list(self.connections):
-            connection.close_soon()
+            connection.close_after_answer()
