--- a/tests/search_replication.py
+++ b/tests/search_replication.py
@@ -223,6 +223,7 @@
         raise AssertionError("no ballot for the accepted version after five ticks")
 
     def summarize(self, replica: int, after: ReplicaState, actions: tuple[m.Action, ...]) -> Effect:
+        """The `Effect` of a step with this next state and these actions."""
         disk, sent, sent_before_write, starts_ballot = -1, 0, 0, False
         outputs: list[m.Committed | m.Reply] = []
         votes: list[Any] = []
@@ -317,6 +318,7 @@
     # Successor states.
 
     def successors(self, system: SystemState) -> Iterator[tuple[SystemState, Any]]:
+        """All states that one event leads to, each with a label of the event."""
         yield from self.delivery_successors(system)
         scope = self.scope
         for i, write in enumerate(scope.writes):
@@ -339,24 +341,26 @@
             yield from self.stop_successors(system, i)
 
     def delivery_successors(self, system: SystemState) -> Iterator[tuple[SystemState, Any]]:
+        """The states after the delivery of each message that has an effect."""
         items, effects, states = self.messages.items, self.effects, system.states
-        left = system.sent
-        while left:
-            low = left & -left
-            left ^= low
-            bit = low.bit_length() - 1
-            sent = items[bit]
+        remaining = system.sent
+        while remaining:
+            lowest_bit = remaining & -remaining
+            remaining ^= lowest_bit
+            number = lowest_bit.bit_length() - 1
+            sent = items[number]
             to = sent.to
             state = states[to]
-            effect = effects.get((state, bit))
+            effect = effects.get((state, number))
             if effect is None:
                 event = m.Received(NAMES[sent.sender], sent.message)
-                effect = self.cached_effect(to, state, bit, event)
+                effect = self.cached_effect(to, state, number, event)
             if effect.state == state and not effect.sent & ~system.sent and not effect.votes:
                 continue
-            yield from self.apply_effect(system, to, effect, bit)
+            yield from self.apply_effect(system, to, effect, number)
 
     def stop_successors(self, system: SystemState, i: int) -> Iterator[tuple[SystemState, Any]]:
+        """The states after a restart of replica i, and the state after a copy of its disk."""
         if system.restarts:
             after = system._replace(restarts=system.restarts - 1)
             yield self.restart_replica(after, i, system.disks[i], f"restart of {NAMES[i]}")
@@ -427,6 +431,7 @@
     # The oracle.
 
     def check_effect(self, system: SystemState, i: int, effect: Effect, label: Any) -> int:
+        """Checks the votes, commits and replies of a step. Returns the index of the next `OracleState`."""
         key = (system.oracle, i, effect)
         found = self.checked.get(key)
         if found is None:
@@ -532,6 +537,7 @@
         return str(label)
 
     def trace(self, system: SystemState | None) -> list[str]:
+        """The events on the shortest path to a state."""
         lines: list[str] = []
         while system is not None and system in self.parents:
             system, label = self.parents[system]
@@ -543,9 +549,9 @@
 
         Returns the numbers of states and of steps, and whether all states were visited. Raises
         `InvariantError` at the first violation."""
-        first = self.initial_system()
-        self.parents[first] = (None, "start")
-        level, steps = [first], 0
+        initial = self.initial_system()
+        self.parents[initial] = (None, "start")
+        level, steps = [initial], 0
         while level:
             following = []
             for system in level:
