--- a/violetsaddle/lab/sim/disk.py
+++ b/violetsaddle/lab/sim/disk.py
@@ -24,7 +24,7 @@
 
 
 def later(process: SimReactor) -> Any:
-    """`net.warmth.Elsewhere`: a program that is killed meanwhile has written nothing."""
+    """`net.disk.BackgroundRunner`: a program that is killed meanwhile has written nothing."""
 
     def run(work: Callable[[], object], done: Callable[[Exception | None], None]) -> None:
         def there() -> None:
--- a/violetsaddle/net/configuration.py
+++ b/violetsaddle/net/configuration.py
@@ -21,7 +21,7 @@
 from violetsaddle.net import http
 from violetsaddle.net.connections import BrokenError, NotConnectedError, ServerConnection, dial
 from violetsaddle.net.deadlines import Deadline
-from violetsaddle.net.disk import Disk, Elsewhere, File, in_thread
+from violetsaddle.net.disk import BackgroundRunner, Disk, File, in_thread
 from violetsaddle.net.node import Node
 from violetsaddle.net.peers import Peers
 from violetsaddle.operator import Configuration as Told
@@ -151,7 +151,7 @@
 class Subscriber:
     """Implements `node.Configurer`."""
 
-    def __init__(self, node: Node, told: Told, disk: Disk | None, elsewhere: Elsewhere) -> None:
+    def __init__(self, node: Node, told: Told, disk: Disk | None, elsewhere: BackgroundRunner) -> None:
         """`disk`: where the newest version is kept, None for nowhere; `elsewhere`: what writes it."""
         self._node, self._told, self._disk, self._elsewhere = node, told, disk, elsewhere
         config = node.config
--- a/violetsaddle/net/disk.py
+++ b/violetsaddle/net/disk.py
@@ -1,4 +1,4 @@
-"""Files that the node writes beside the reactor's way."""
+"""Storage of a node's snapshots, written outside the reactor thread."""
 
 from __future__ import annotations
 
@@ -12,50 +12,54 @@
 
 
 class Disk(Protocol):
-    """Where a snapshot lies."""
+    """Storage of one snapshot."""
 
     def read(self) -> bytes | None:
-        """None: there is none.  Raises `DamagedError`."""
+        """Returns the snapshot, or None where there is none.  Raises `DamagedError`."""
 
     def write(self, data: bytes) -> None:
-        """Replaces it as a whole; raises `OSError`.  May take long: never called on the reactor's way."""
+        """Replaces the snapshot atomically.  Raises `OSError`.
+
+        May block for long, so it is never called on the reactor thread."""
 
 
 class File:
-    """`Disk`: a file."""
+    """A `Disk` that keeps the snapshot in one file."""
 
     def __init__(self, path: str, step: Step = no_step) -> None:
-        """`step`: told of each step of a write, for tests."""
+        """`step`: called with the name of each step of a write, for tests."""
         self._path, self._step = path, step
 
     def read(self) -> bytes | None:
-        """The file's bytes, None where there is none; raises `DamagedError`."""
+        """Returns the content of the file, or None where it does not exist.  Raises `DamagedError`."""
         return files.read(self._path)
 
     def write(self, data: bytes) -> None:
-        """Replaces the file; raises `OSError`."""
+        """Replaces the file atomically.  Raises `OSError`."""
         files.write(self._path, data, self._step)
 
 
-# Does the first beside the reactor's way, then calls the second on it, with what the first raised.
-Elsewhere: TypeAlias = Callable[[Callable[[], object], Callable[[Exception | None], None]], None]
+# Runs the first function outside the reactor thread, then calls the second on the reactor thread with the
+# exception that the first raised, or None.
+BackgroundRunner: TypeAlias = Callable[[Callable[[], object], Callable[[Exception | None], None]], None]
 
 
-def in_thread(reactor: Reactor) -> Elsewhere:
-    """A thread for each piece of work: one that a disk holds for good holds up no end of the program."""
+def in_thread(reactor: Reactor) -> BackgroundRunner:
+    """Returns a runner that starts a daemon thread for each call, so that a write that blocks for ever does
+    not keep the program from ending."""
 
     def run(work: Callable[[], object], done: Callable[[Exception | None], None]) -> None:
-        def there() -> None:
-            failed = None
+        def run_work() -> None:
+            failure = None
             try:
                 work()
             except Exception as error:
-                failed = error
-            reactor.callFromThread(done, failed)
+                failure = error
+            reactor.callFromThread(done, failure)
 
         try:
-            Thread(target=there, daemon=True).start()
-        except RuntimeError as error:  # no more threads
+            Thread(target=run_work, daemon=True).start()
+        except RuntimeError as error:  # the system has no more threads
             reactor.callFromThread(done, error)
 
     return run
--- a/violetsaddle/net/warmth.py
+++ b/violetsaddle/net/warmth.py
@@ -11,7 +11,7 @@
 from violetsaddle.decide import memory, warmth
 from violetsaddle.decide.memory import Believed, Memory
 from violetsaddle.net.discovery import BadListError
-from violetsaddle.net.disk import Disk, Elsewhere, File, in_thread
+from violetsaddle.net.disk import BackgroundRunner, Disk, File, in_thread
 from violetsaddle.net.limits import MS, SECOND
 from violetsaddle.net.node import Node
 from violetsaddle.net.peers import Peers
@@ -36,7 +36,7 @@
 class Warmth:
     """Implements `node.Keeper`."""
 
-    def __init__(self, node: Node, told: Restart, disk: Disk | None, elsewhere: Elsewhere) -> None:
+    def __init__(self, node: Node, told: Restart, disk: Disk | None, elsewhere: BackgroundRunner) -> None:
         """`disk`: None where no snapshot is kept; `elsewhere`: runs the writing of one."""
         self._node, self._told, self._disk, self._elsewhere = node, told, disk, elsewhere
         config = node.config
--- a/violetsaddle/store/__init__.py
+++ b/violetsaddle/store/__init__.py
@@ -1,1 +1,1 @@
-"""What lasts.  Imported only by a node that has it switched on."""
+"""Files that outlive the process.  Imported only by a node whose operator file turns them on."""
--- a/violetsaddle/store/files.py
+++ b/violetsaddle/store/files.py
@@ -1,75 +1,81 @@
-"""Files that are read and replaced as a whole: at any moment there is the old one or the new one."""
+"""Reads files whole and replaces them atomically: a reader finds the old content or the new content."""
 
 from __future__ import annotations
 
 import os
 from collections.abc import Callable
 
-MOST = 64 << 20  # bytes of a file that is read at all
-NEW = ".new"  # beside the file while it is written
+MAX_FILE_SIZE = 64 << 20  # bytes
+TEMPORARY_SUFFIX = ".new"  # of the file that is written and then renamed
 
 Step = Callable[[str], None]
 
 
 class DamagedError(Exception):
-    """A file that can't be used; one line says why."""
+    """The file can't be used; the message gives the reason in one line."""
 
 
 def no_step(name: str) -> None:
-    """Tests pass one that ends the process, or raises, at a step."""
+    """Does nothing.  Tests pass a function that kills the process, or raises, at the step `name`."""
 
 
-def read(path: str, most: int = MOST) -> bytes | None:
-    """A file's bytes; None where there is none.  Raises `DamagedError` for one that can't be read."""
+def read(path: str, max_size: int = MAX_FILE_SIZE) -> bytes | None:
+    """Returns the content of a file, or None where the file does not exist.
+
+    Raises `DamagedError` if the file can't be read or holds more than `max_size` bytes."""
     try:
-        # Not waiting for whoever might write to a path that is a pipe.
+        # O_NONBLOCK: where the path is a pipe, opening it must not wait for a writer.
         with open(os.open(path, os.O_RDONLY | os.O_NONBLOCK | os.O_CLOEXEC), "rb") as file:
-            data = file.read(most + 1) or b""
+            data = file.read(max_size + 1) or b""
     except FileNotFoundError:
         return None
-    except (OSError, ValueError) as wrong:
-        raise DamagedError(f"it can't be read: {getattr(wrong, 'strerror', None) or wrong}") from None
-    if len(data) > most:
-        raise DamagedError(f"it holds more than {most} bytes")
+    except (OSError, ValueError) as error:
+        raise DamagedError(f"it can't be read: {getattr(error, 'strerror', None) or error}") from None
+    if len(data) > max_size:
+        raise DamagedError(f"it holds more than {max_size} bytes")
     return data
 
 
 def write(path: str, data: bytes, step: Step = no_step) -> None:
-    """Puts a file in the place of the last one: at any moment, also after a loss of power, there is the
-    old one or the new one, whole.  Raises `OSError`, and what `step` raises; then the old one stays."""
-    new = path + NEW
+    """Replaces a file atomically: at any moment, also after a loss of power, the path holds all of the old
+    content or all of the new content.
+
+    `step` is called with the name of each step.  Raises `OSError`, and whatever `step` raises; before the
+    rename the old file then stays."""
+    temporary = path + TEMPORARY_SUFFIX
     step("open")
-    file = os.open(new, os.O_WRONLY | os.O_CREAT | os.O_TRUNC | os.O_CLOEXEC, 0o600)
+    file = os.open(temporary, os.O_WRONLY | os.O_CREAT | os.O_TRUNC | os.O_CLOEXEC, 0o600)
     try:
         try:
             step("write")
-            rest = memoryview(data)
-            while rest:
-                rest = rest[os.write(file, rest) :]
+            remaining = memoryview(data)
+            while remaining:
+                remaining = remaining[os.write(file, remaining) :]
                 step("written")
             os.fsync(file)
             step("synced")
         finally:
             os.close(file)
-        os.rename(new, path)
+        os.rename(temporary, path)
     except BaseException:
-        _drop(new)
+        _remove(temporary)
         raise
     step("renamed")
-    _sync_folder(os.path.dirname(os.path.abspath(path)))
+    _sync_directory(os.path.dirname(os.path.abspath(path)))
     step("done")
 
 
-def _drop(new: str) -> None:
+def _remove(path: str) -> None:
     try:
-        os.unlink(new)
+        os.unlink(path)
     except OSError:
-        pass  # the next one writes over it
+        pass  # the next write truncates it
 
 
-def _sync_folder(folder: str) -> None:
-    place = os.open(folder, os.O_RDONLY | os.O_DIRECTORY | os.O_CLOEXEC)
+def _sync_directory(path: str) -> None:
+    """Makes a rename inside the directory durable."""
+    directory = os.open(path, os.O_RDONLY | os.O_DIRECTORY | os.O_CLOEXEC)
     try:
-        os.fsync(place)
+        os.fsync(directory)
     finally:
-        os.close(place)
+        os.close(directory)
--- a/violetsaddle/store/snapshots.py
+++ b/violetsaddle/store/snapshots.py
@@ -13,7 +13,7 @@
 import msgspec
 
 from violetsaddle.decide.memory import Memory, foremost
-from violetsaddle.store.files import MOST, DamagedError
+from violetsaddle.store.files import MAX_FILE_SIZE, DamagedError
 
 MAGIC = b"vsaddle\n"
 VERSION = 1
@@ -26,7 +26,7 @@
     return blake2b(msgspec.json.encode(settings, order="deterministic"), digest_size=DIGEST).digest()
 
 
-def encode(memory: Memory, settings: bytes, most: int = MOST) -> bytes:
+def encode(memory: Memory, settings: bytes, most: int = MAX_FILE_SIZE) -> bytes:
     """A snapshot of at most so many bytes.  What does not fit is left out: boxes, those that say least first;
     the list, where it would push out half of the boxes or more; and in the end older ids, the last to go, for
     an id that is forgotten may run twice."""
