--- a/tests/test_configuration_trouble.py
+++ b/tests/test_configuration_trouble.py
@@ -24,7 +24,7 @@
 from tests.scenario import PATIENCE, SETTINGS, Scenario
 from tests.test_configuration_node import BOUND, TIER, Tier, document
 from violetsaddle.decide.document import MOST_BYTES, baseline_of, digest
-from violetsaddle.decide.memory import Memory
+from violetsaddle.decide.memory import LearnedState
 from violetsaddle.lab.live.children import TREE
 from violetsaddle.net.configuration import unpacked
 from violetsaddle.store import snapshots
@@ -471,7 +471,7 @@
         if not kept.exists():
             return False
         data = kept.read_bytes()
-        memory: Memory = snapshots.decode(data, snapshots.HEAD.unpack_from(data)[3])
+        memory: LearnedState = snapshots.decode(data, snapshots.HEADER.unpack_from(data)[3])
         rate = memory.values.get("rate")
         rates = [bucket.rate for bucket in memory.buckets]
         if not rate or len(rates) != len(shares) or None in rates:
--- a/tests/test_snapshots.py
+++ b/tests/test_snapshots.py
@@ -18,7 +18,7 @@
 
 from tests.scenario import Scenario
 from violetsaddle import RequestClass, Settings
-from violetsaddle.decide.memory import Box, Bucket, Memory
+from violetsaddle.decide.memory import BoxState, BucketState, LearnedState
 from violetsaddle.net.node import Config, Node
 from violetsaddle.net.warmth import Warmth
 from violetsaddle.operator import Restart
@@ -27,7 +27,9 @@
 from violetsaddle.store.snapshots import decode, digest, encode
 
 UNDER = digest({"a": frozenset("xyz")})
-SMALL = Memory(5, 6, {"pace": 0.5}, {0: 2.0}, {1: 0.5}, [Bucket(None, 1.0)], 1.0, {"s": Box(0)}, ["id"])
+SMALL = LearnedState(
+    5, 6, {"pace": 0.5}, {0: 2.0}, {1: 0.5}, [BucketState(None, 1.0)], 1.0, {"s": BoxState(0)}, ["id"]
+)
 LIMITS = '[limits]\nlinger_ms = 10\nkeep_asking_ms = 20\nkeep_idle_ms = 30\n[restart]\nsnapshot = "{}"\n'
 WRITER = """
 import os, sys
@@ -71,14 +73,14 @@
         with mock.patch.object(snapshots, "VERSION", 2):
             later = encode(SMALL, UNDER)
         self.assertRaisesRegex(DamagedError, "version 2", decode, later, UNDER)
-        strange = snapshots.HEAD.pack(snapshots.MAGIC, 1, 1, UNDER) + b"\xc0"
+        strange = snapshots.HEADER.pack(snapshots.MAGIC, 1, 1, UNDER) + b"\xc0"
         strange += blake2b(strange, digest_size=16).digest()
         self.assertRaisesRegex(DamagedError, "body", decode, strange, UNDER)
 
     def test_what_does_not_fit_is_left_out(self) -> None:
         ids = [f"id-{n}" for n in range(2000)]
-        large = Memory(
-            1, boxes={f"s-{n}": Box(0) for n in range(500)}, ids=ids, listing={"servers": "x" * 9000}
+        large = LearnedState(
+            1, boxes={f"s-{n}": BoxState(0) for n in range(500)}, ids=ids, listing={"servers": "x" * 9000}
         )
         kept = decode(encode(large, UNDER, len(encode(large, UNDER)) - 4000), UNDER)
         self.assertTrue(100 < len(kept.boxes) < 490 and kept.listing and kept.ids == ids)
@@ -291,7 +293,7 @@
         with tempfile.TemporaryDirectory() as folder:
             Path(folder, "kept").write_bytes(b"x" * 99)
             self.restarting(folder + "/kept")
-            self.assertEqual(self.seen[0], "n1: snapshot: not used: it is no snapshot")
+            self.assertEqual(self.seen[0], "n1: snapshot: not used: it is not a snapshot")
             self.play("node send TERM\nnode expect exit 0")
             self.again()
             self.assertIn("believed in", self.seen[0])
--- a/tests/test_warmth.py
+++ b/tests/test_warmth.py
@@ -14,9 +14,9 @@
 from hypothesis import strategies as st
 
 from tests.helpers import MS, SECOND, make
-from tests.test_memory import busy, node, state
+from tests.test_memory import adoptable_values, busy_node, fresh_node
 from violetsaddle.decide import warmth
-from violetsaddle.decide.memory import Box, Memory
+from violetsaddle.decide.memory import BoxState, LearnedState
 from violetsaddle.decide.warmth import Answering, Asking, Heard, believe, shaped
 from violetsaddle.lab.records import NodeLife
 from violetsaddle.lab.sim.stage import SimStage
@@ -34,7 +34,7 @@
 
 class AskingAnswering(unittest.TestCase):
     def setUp(self) -> None:
-        self.old = busy(NOW)
+        self.old = busy_node(NOW)
 
     def test_two_then_two_others_at_most_three_rounds(self) -> None:
         asking, now, asked = Asking(0, 10, 1, 0), 0, list[int]()
@@ -44,7 +44,7 @@
         self.assertEqual((len(asked), len(set(asked)), 0 in asked), (6, 6, False))
         self.assertEqual(asking.next, warmth.LISTEN_FOR)
         self.assertTrue(asking.late(now))
-        self.assertEqual(believe(node(now), asking.take(now), now, 0).why, "no peer answered")
+        self.assertEqual(believe(fresh_node(now), asking.take(now), now, 0).reason, "no peer answered")
         self.assertTrue(Asking(0, 1, 1, 0).over)  # nobody to ask
 
     def test_all_datagrams_are_short_and_passed_over_by_the_module(self) -> None:
@@ -65,7 +65,7 @@
         self.assertFalse(grown.answer(self.old, NOW, 0, data))  # the same again: doubled on its way
         for other, at in ((Answering(2, 0), NOW), (Answering(1, NOW - SECOND), NOW)):
             self.assertFalse(other.answer(self.old, at, 0, data))  # not asked; too young
-        self.assertFalse(Answering(1, 0).answer(node(NOW), NOW, 0, data))  # knows nothing
+        self.assertFalse(Answering(1, 0).answer(fresh_node(NOW), NOW, 0, data))  # knows nothing
         self.assertFalse(Answering(0, 0).answer(self.old, NOW, 0, data))  # its own
 
     def test_answers_are_bounded_whatever_asks(self) -> None:
@@ -106,10 +106,10 @@
             for answer in Answering(number, 0).answer(self.old, NOW, 0, data):
                 asking.hear(5 * MS, number, answer)
         self.assertTrue(asking.ready(5 * MS))
-        fresh = node(0)
+        fresh = fresh_node(0)
         found = believe(fresh, asking.take(5 * MS), 5 * MS, 0)
         self.assertFalse(asking.ready(5 * MS))
-        self.assertEqual(found.why, "")
+        self.assertEqual(found.reason, "")
         mean = self.old.fleet.slot_time / self.old.fleet.slots
         self.assertAlmostEqual(fresh.fleet.slot_time / fresh.fleet.slots, mean, delta=mean / 1000)
         self.assertLessEqual(fresh.fleet.slots, warmth.MOST_RUNS)
@@ -121,8 +121,12 @@
         self.assertTrue(all(w.trust >= warmth.FAIR and not w.shut_until for w in fresh.workers.values()))
 
     def test_marks_that_collide_and_own_evidence(self) -> None:
-        heard = [Heard(0, Memory(0), {w.mark: Box(0, errors=0.9) for w in node(0).workers.values()})]
-        fresh = node(0)
+        heard = [
+            Heard(
+                0, LearnedState(0), {w.mark: BoxState(0, errors=0.9) for w in fresh_node(0).workers.values()}
+            )
+        ]
+        fresh = fresh_node(0)
         one, two, three, *rest = fresh.workers.values()
         one.mark, three.life = two.mark, 5
         believe(fresh, heard, 10, 1, own_runs=True)
@@ -143,7 +147,7 @@
         st.integers(0, 65535),
     )
     def test_no_datagram_does_harm(self, datagrams: list[bytes], values: list[float], age: int) -> None:
-        fresh, answering, asking = node(SECOND), Answering(1, 0), Asking(0, 4, 1, SECOND)
+        fresh, answering, asking = fresh_node(SECOND), Answering(1, 0), Asking(0, 4, 1, SECOND)
         asked = [number for number, _ in asking.due(SECOND)]
         asking._nonce = 0
         lie = warmth.AGED.pack(warmth.MAGIC, warmth.ANSWER, 0, age) + warmth.VALUES.pack(
@@ -154,7 +158,7 @@
             for number in (*asked, 0, 9):
                 asking.hear(SECOND, number, data)
         believe(fresh, asking.take(SECOND), SECOND, SECOND)
-        for name, value in state(fresh).items():
+        for name, value in adoptable_values(fresh).items():
             self.assertTrue(value is None or math.isfinite(value), name)
         for name, low, high in (("pressure", 0, 1), ("crowd", 0, 1), ("own_rate", 0, 1)):
             self.assertTrue(low <= getattr(fresh, name) <= high)
--- a/violetsaddle/decide/memory.py
+++ b/violetsaddle/decide/memory.py
@@ -1,8 +1,10 @@
-"""What a node has learned, as a value that outlives it, and how far a later node believes it.
+"""What a node has learned, as a value that outlives the process, and how much of it a later node adopts.
 
-`AGING` says for every value how it ages.  Nothing here is an order: what is believed changes how a node
-weighs the boxes that its own list names, never which boxes those are, what state they are in or how cold
-they are."""
+`AGING_RULES` says for every value how its weight falls with its age.  Adopted values change only how a node
+weighs the boxes on its own server list; they never change which boxes are on it, their state, or for how long
+they count as cold.
+
+A box is what the decision module calls a worker."""
 
 from __future__ import annotations
 
@@ -14,170 +16,179 @@
 import msgspec
 
 SECOND = 1_000_000  # microseconds
-MOST_WORKERS = 5_000  # kept; those with the least to tell are left out first
-MOST_KINDS = 256
-MOST_TENANTS = 1024
-AHEAD = SECOND // 10  # a memory from later than now: the clock went back, and nothing is believed
-SAME_START = SECOND // 2  # two tellings of one start of a box differ by less: the clocks' own steps
-LEAST_WEIGHT = 0.02  # what counts less is left as it is
-MOST_SHUT = 0.3  # of the boxes, as the module has it
-LONGEST = 3600.0 * SECOND
-
-
-OF_FLEET = ("rate", "slot_time", "slots", "pace")  # the module has these at its estimate of the fleet
+MAX_BOXES = 5_000  # the least informative are left out first
+MAX_KINDS = 256  # machine kinds
+MAX_TENANTS = 1024
+FUTURE_TOLERANCE = SECOND // 10  # a state from further in the future means that the clock was set back
+START_TOLERANCE = SECOND // 2  # two reports of one start of a box differ by less: clocks are stepped
+MIN_WEIGHT = 0.02  # a value with a smaller weight is not adopted
+MAX_EJECTED_SHARE = 0.3  # of the boxes; the same limit as policy.MOST_SHUT
+MAX_DURATION = 3600.0 * SECOND  # of `alive_ago`
+
+OF_FLEET = ("rate", "slot_time", "slots", "pace")  # attributes of `FleetRate`; the others are `Balancer`'s
 VALUES = (*OF_FLEET, "mean_hint", "pressure", "crowd", "own_rate")
 
 
-class Aging(NamedTuple):
-    """`half`: after so long a value counts half, the rest is the fresh start's; 0: it does not fade.  `live`:
-    after so long it counts for nothing.  `low`, `high`: a value outside is no value.  Times in seconds."""
+class AgingRule(NamedTuple):
+    """How the weight of a value falls with its age, and which values are valid.
 
-    half: float
-    live: float
-    low: float
-    high: float
-    why: str
+    An adopted value is mixed with the default of a fresh start by its weight."""
 
+    half_life: float  # seconds; 0: the weight stays 1 until `max_age`
+    max_age: float  # seconds; from this age on the weight is 0
+    minimum: float
+    maximum: float
+    reason: str
 
-AGING: dict[str, Aging] = {
+
+AGING_RULES: dict[str, AgingRule] = {
     # The fleet.
-    "rate": Aging(0, 10, 0, 1.0, "estimated anew each second; slots a microsecond"),
-    "slot_time": Aging(15, 60, 0, 1e15, "run times change with the mix of jobs: fewer old runs count"),
-    "slots": Aging(15, 60, 0, 1e6, "as slot_time: their quotient is the mean run time and does not fade"),
-    "pace": Aging(5, 30, 0.3, 1.0, "a backlog drains or grows within seconds"),
-    "most_free": Aging(0, 60, 0, 1e4, "a kind's size does not change"),
-    "speeds": Aging(0, 60, 1e-9, 1e6, "a kind's speed changes slowly; nothing better is known at a start"),
-    "mean_hint": Aging(0, 60, 1, 1e12, "the mix of jobs; nothing better is known at a start"),
-    "pressure": Aging(2, 10, 0, 1.0, "the last dozen starts: seconds at most"),
-    "crowd": Aging(2, 10, 0, 1.0, "the last dozen reports: seconds at most"),
-    "own_rate": Aging(10, 60, 0, 1.0, "traffic swings over tens of seconds; slots a microsecond"),
-    # Tenants: tokens go on accruing while nobody is there to spend them.
-    "bucket_rate": Aging(0, 10, 0, 1.0, "a share of the fleet's rate"),
-    "tokens": Aging(0, 60, -1e6, 1e6, "accrue by the rate, never above the burst"),
-    "budget": Aging(10, 60, 0, 1e3, "retries: earned by requests, a few seconds' worth"),
+    "rate": AgingRule(0, 10, 0, 1.0, "estimated anew each second; slots a microsecond"),
+    "slot_time": AgingRule(15, 60, 0, 1e15, "run times change with the mix of jobs: fewer old runs count"),
+    "slots": AgingRule(15, 60, 0, 1e6, "as slot_time: their quotient is the mean run time and does not fade"),
+    "pace": AgingRule(5, 30, 0.3, 1.0, "a backlog drains or grows within seconds"),
+    "most_free": AgingRule(0, 60, 0, 1e4, "a kind's size does not change"),
+    "speeds": AgingRule(
+        0, 60, 1e-9, 1e6, "a kind's speed changes slowly; nothing better is known at a start"
+    ),
+    "mean_hint": AgingRule(0, 60, 1, 1e12, "the mix of jobs; nothing better is known at a start"),
+    "pressure": AgingRule(2, 10, 0, 1.0, "the last dozen starts: seconds at most"),
+    "crowd": AgingRule(2, 10, 0, 1.0, "the last dozen reports: seconds at most"),
+    "own_rate": AgingRule(10, 60, 0, 1.0, "traffic swings over tens of seconds; slots a microsecond"),
+    # Tenants.  Tokens accrue also while no node is running.
+    "bucket_rate": AgingRule(0, 10, 0, 1.0, "a share of the fleet's rate"),
+    "tokens": AgingRule(0, 60, -1e6, 1e6, "accrue by the rate, never above the burst"),
+    "budget": AgingRule(10, 60, 0, 1e3, "retries: earned by requests, a few seconds' worth"),
     # Boxes.
-    "speed": Aging(20, 60, 1e-9, 1e6, "slowed boxes stay slow for tens of seconds; fades to its kind's"),
-    "errors": Aging(8, 30, 0, 1.0, "ill boxes come back within seconds"),
-    "ill": Aging(0, 30, 0, 16.0 * SECOND, "a time that is left runs down by itself"),
-    "strikes": Aging(8, 30, 0, 4, "crashed and silent boxes are delisted or back by then"),
-    "trust": Aging(8, 30, 0.05, 1.0, "as strikes; a sign of life restores it sooner"),
-    "shut": Aging(0, 30, 0, 16.0 * SECOND, "a time that is left runs down by itself"),
-    "life": Aging(0, 60, 0, LONGEST, "how long ago; grows by the age"),
-    "cold": Aging(0, 60, -1e6, 1e6, "only a lower budget than a fresh one's is taken over"),
+    "speed": AgingRule(
+        20, 60, 1e-9, 1e6, "slow boxes stay slow for tens of seconds; decays to the speed of its kind"
+    ),
+    "errors": AgingRule(8, 30, 0, 1.0, "unhealthy boxes recover within seconds"),
+    "unhealthy_left": AgingRule(0, 30, 0, 16.0 * SECOND, "a remaining time, which expires by itself"),
+    "strikes": AgingRule(8, 30, 0, 4, "crashed and silent boxes are delisted or back by then"),
+    "trust": AgingRule(8, 30, 0.05, 1.0, "as strikes; a sign of life restores it sooner"),
+    "ejected_left": AgingRule(0, 30, 0, 16.0 * SECOND, "a remaining time, which expires by itself"),
+    "alive_ago": AgingRule(0, 60, 0, MAX_DURATION, "how long ago; grows by the age"),
+    "cold_tokens": AgingRule(0, 60, -1e6, 1e6, "adopted only if lower than the budget of a fresh start"),
 }
 
 
-class Box(msgspec.Struct, array_like=True):
-    """What was learned of one box; times are microseconds from the memory's making."""
+class BoxState(msgspec.Struct, array_like=True):
+    """What was learned of one box.  Durations are microseconds, as seen when the state was collected."""
 
     started: int  # Unix microseconds of its last start; 0: long ago
-    speed: float = 0.0  # 0: unknown
-    errors: float = 0.0
-    ill: int = 0  # left
-    strikes: int = 0
-    trust: float = 1.0
-    shut: int = 0  # left
-    life: int = -1  # since its last sign of life; -1: none
-    cold: float | None = None  # tokens of its budget; None: it was warm
+    speed: float = 0.0  # hinted work over time taken; 0: unknown
+    errors: float = 0.0  # share of errors among its last outcomes, 0 to 1
+    unhealthy_left: int = 0  # until it counts as healthy again
+    strikes: int = 0  # consecutive ejections
+    trust: float = 1.0  # 0 to 1
+    ejected_left: int = 0  # until it is chosen again
+    alive_ago: int = -1  # since its last sign of life; -1: none
+    cold_tokens: float | None = None  # tokens left in its cold-start budget; None: it was warm
 
 
-class Bucket(msgspec.Struct, array_like=True):
-    """A tenant's tokens at the memory's making."""
+class BucketState(msgspec.Struct, array_like=True):
+    """A tenant's token bucket when the state was collected."""
 
     rate: float | None  # tokens a microsecond; None: not estimated
     tokens: float
 
 
-class Memory(msgspec.Struct):
-    """All that outlives a process.  `unix` and `mono` are its time on both clocks, microseconds; `mono` below
-    0: that clock is another machine's."""
+class LearnedState(msgspec.Struct):
+    """Everything learned that outlives a process.  Snapshots hold it under the names of its fields."""
 
-    unix: int
-    mono: int = -1
-    values: dict[str, float] = {}  # of the fleet, by the names of `AGING`
-    most_free: dict[int, float] = {}  # by machine kind
-    speeds: dict[int, float] = {}
-    buckets: list[Bucket] = []  # by tenant
-    retries: float = -1.0  # below 0: not told
-    boxes: dict[str, Box] = {}  # by name
-    ids: list[str] = []  # that ran, or may have, the latest last
-    listing: dict[str, Any] | None = None  # the list held, in discovery's form
-    source: str = ""  # where it came from: versions of another discovery say nothing
+    unix: int  # Unix microseconds at which it was collected
+    mono: int = -1  # the same on the monotonic clock, microseconds; below 0: on the clock of another machine
+    values: dict[str, float] = {}  # of the whole fleet, by the names in `VALUES`
+    most_free: dict[int, float] = {}  # slots, by machine kind
+    speeds: dict[int, float] = {}  # by machine kind
+    buckets: list[BucketState] = []  # by tenant
+    retries: float = -1.0  # tokens of the retry budget; below 0: unknown
+    boxes: dict[str, BoxState] = {}  # by name
+    ids: list[str] = []  # of jobs that ran or may have run, the latest last
+    listing: dict[str, Any] | None = None  # the server list, in discovery's form
+    source: str = ""  # host:port of the discovery it came from; versions of two discoveries don't compare
 
 
-class Believed(msgspec.Struct):
-    """What was taken over.  `why`: why nothing was, or empty."""
+class Adopted(msgspec.Struct):
+    """How much of a state was adopted."""
 
     age: int = 0  # microseconds
     values: int = 0
     boxes: int = 0
-    passed: int = 0  # boxes not listed now, restarted, or told of in numbers that are none
-    why: str = ""
+    skipped: int = 0  # boxes that are not on the list now, or have restarted since
+    reason: str = ""  # why nothing was adopted; empty: something was
 
 
 def weight(name: str, age: float) -> float:
-    """How far a value of this age (microseconds) is believed, 0 to 1."""
-    aging, seconds = AGING[name], age / SECOND
-    if seconds >= aging.live:
+    """Returns the weight of a value of this age (microseconds), 0 to 1."""
+    rule, seconds = AGING_RULES[name], age / SECOND
+    if seconds >= rule.max_age:
         return 0.0
-    return 0.5 ** (seconds / aging.half) if aging.half else 1.0
+    return 0.5 ** (seconds / rule.half_life) if rule.half_life else 1.0
 
 
-def sound(value: object, name: str) -> TypeGuard[float]:
-    """Whether it is a number and in the range of its name."""
-    aging = AGING[name]
+def is_valid(value: object, name: str) -> TypeGuard[float]:
+    """Whether a value is a finite number within the range of its aging rule."""
+    rule = AGING_RULES[name]
     return (
         isinstance(value, (int, float))
         and not isinstance(value, bool)
         and math.isfinite(value)
-        and aging.low <= value <= aging.high
+        and rule.minimum <= value <= rule.maximum
     )
 
 
-def numbered(names: Iterator[str]) -> dict[int, str]:
-    """Names by the numbers under which the module knows them; two that share one are left out."""
-    found: dict[int, str] = {}
-    twice = set()
+def names_by_number(names: Iterator[str]) -> dict[int, str]:
+    """Returns names by their CRC-32, which is how the decision module numbers workers.
+
+    Names that share a number are left out."""
+    by_number: dict[int, str] = {}
+    duplicates = set()
     for name in names:
         number = crc32(name.encode("utf-8", "replace"))
-        if number in found:
-            twice.add(number)
-        found[number] = name
-    return {number: name for number, name in found.items() if number not in twice}
+        if number in by_number:
+            duplicates.add(number)
+        by_number[number] = name
+    return {number: name for number, name in by_number.items() if number not in duplicates}
 
 
-def _items(listing: Mapping[str, Any] | None) -> dict[str, Mapping[str, Any]]:
+def _items_by_id(listing: Mapping[str, Any] | None) -> dict[str, Mapping[str, Any]]:
     items = listing.get("servers") if listing else None
     return {item["id"]: item for item in items or () if isinstance(item.get("id"), str)}
 
 
-# Learning.
+# Collecting what a balancer has learned.
+
 
+def collect(
+    balancer: Any, now: int, unix: int, ids: list[str], listing: dict[str, Any] | None
+) -> LearnedState:
+    """Returns everything worth keeping of a balancer.
 
-def learned(balancer: Any, now: int, unix: int, ids: list[str], listing: dict[str, Any] | None) -> Memory:
-    """Everything worth keeping.  `ids`: the last that ran; `listing`: the list held, in discovery's form,
-    which gives boxes their names and starts."""
+    `now`, `unix`: the time on the monotonic and the Unix clock, microseconds; `ids`: jobs that ran last;
+    `listing`: the server list in discovery's form, which gives boxes their names and starts."""
     fleet = balancer.fleet
     found = {name: getattr(fleet if name in OF_FLEET else balancer, name) for name in VALUES}
-    values = {name: float(value) for name, value in found.items() if sound(value, name)}
-    items = _items(listing)
-    names = numbered(iter(items))
+    values = {name: float(value) for name, value in found.items() if is_valid(value, name)}
+    items = _items_by_id(listing)
+    names = names_by_number(iter(items))
     boxes = {
-        names[number]: learned_box(worker, now, items[names[number]])
+        names[number]: collect_box(worker, now, items[names[number]])
         for number, worker in balancer.workers.items()
         if number in names
     }
-    if len(boxes) > MOST_WORKERS:
-        boxes = foremost(boxes, MOST_WORKERS)
+    if len(boxes) > MAX_BOXES:
+        boxes = most_informative(boxes, MAX_BOXES)
     for bucket in balancer.buckets:
         bucket.fill(now)
-    return Memory(
+    return LearnedState(
         unix,
         now,
         values,
-        _plain("most_free", fleet.most_free),
-        _plain("speeds", balancer.speeds),
-        [Bucket(b.rate, b.tokens) for b in balancer.buckets[:MOST_TENANTS]],
+        _valid_entries("most_free", fleet.most_free),
+        _valid_entries("speeds", balancer.speeds),
+        [BucketState(b.rate, b.tokens) for b in balancer.buckets[:MAX_TENANTS]],
         balancer.retries,
         boxes,
         ids,
@@ -185,13 +196,13 @@
     )
 
 
-def learned_box(worker: Any, now: int, item: Mapping[str, Any]) -> Box:
-    """What is worth keeping of a worker; `item`: its entry in discovery's form."""
+def collect_box(worker: Any, now: int, item: Mapping[str, Any]) -> BoxState:
+    """Returns what is worth keeping of a worker.  `item`: its entry in the list, in discovery's form."""
     started = item.get("started_ms") or 0
     cold = worker.cold_until > now
     if cold:
         worker.cold.fill(now)
-    return Box(
+    return BoxState(
         int(started) * 1000,
         worker.speed,
         worker.errors,
@@ -204,151 +215,162 @@
     )
 
 
-def foremost(boxes: Mapping[str, Box], most: int) -> dict[str, Box]:
-    """So many of the boxes at most, those of which most would be forgotten."""
-    return dict(sorted(boxes.items(), key=lambda pair: (-_tells(pair[1]), pair[0]))[:most])
+def most_informative(boxes: Mapping[str, BoxState], limit: int) -> dict[str, BoxState]:
+    """Returns at most `limit` of the boxes: those whose state differs most from that of a fresh start."""
+    return dict(sorted(boxes.items(), key=lambda pair: (-_information(pair[1]), pair[0]))[:limit])
 
 
-def _tells(box: Box) -> float:
-    """How much there is to lose by forgetting a box."""
-    return 4.0 * (box.shut > 0) + 4.0 * (box.ill > 0) + 2.0 * (1.0 - box.trust) + box.errors + (box.speed > 0)
+def _information(box: BoxState) -> float:
+    """Returns a score: how much would be lost if the state of a box were left out."""
+    return (
+        4.0 * (box.ejected_left > 0)
+        + 4.0 * (box.unhealthy_left > 0)
+        + 2.0 * (1.0 - box.trust)
+        + box.errors
+        + (box.speed > 0)
+    )
 
 
-def _plain(name: str, table: Mapping[int, float]) -> dict[int, float]:
-    return {kind: float(value) for kind, value in sorted(table.items())[:MOST_KINDS] if sound(value, name)}
+def _valid_entries(name: str, table: Mapping[int, float]) -> dict[int, float]:
+    return {kind: float(value) for kind, value in sorted(table.items())[:MAX_KINDS] if is_valid(value, name)}
 
 
-# Believing.
+# Adopting what was learned before.
 
 
-def age_of(memory: Memory, now: int, unix: int) -> int | None:
-    """How old a memory is, in microseconds; None where the clocks don't agree that it is from before now.
+def age_of(state: LearnedState, now: int, unix: int) -> int | None:
+    """Returns the age of a state in microseconds, or None if the Unix clock says that it is from the future.
 
-    The clock that never goes back tells more of a machine that has run on, and is passed over elsewhere: the
-    greater of both ages counts."""
-    age = unix - memory.unix
-    if age < -AHEAD:
+    `now`, `unix`: the time on the monotonic and the Unix clock, microseconds.  The greater of the two ages
+    counts: the monotonic clock is never set back but says nothing after a reboot or on another machine."""
+    age = unix - state.unix
+    if age < -FUTURE_TOLERANCE:
         return None
-    return max(0, age, now - memory.mono if memory.mono >= 0 else 0)
+    return max(0, age, now - state.mono if state.mono >= 0 else 0)
 
 
-def believe(balancer: Any, memory: Memory, now: int, unix: int, most: int = 60 * SECOND) -> Believed:
-    """Takes over what is still worth it; `most`: what is older is not believed at all, microseconds.
+def adopt(balancer: Any, state: LearnedState, now: int, unix: int, max_age: int = 60 * SECOND) -> Adopted:
+    """Adopts what is still useful of a state; nothing of one that is older than `max_age` (microseconds).
 
-    To be called once the first list is in, at a node that has learned nothing yet."""
-    age = age_of(memory, now, unix)
+    To be called after the first server list was applied, on a balancer that has learned nothing yet."""
+    age = age_of(state, now, unix)
     if age is None:
-        return Believed(why="it is from later than now: the clock was set back")
-    if age > most:
-        return Believed(age, why=f"it is {age / SECOND:.0f} s old")
-    found = Believed(age)
-    believe_fleet(balancer, memory, age, found)
-    _buckets(balancer, memory, now, age, found)
-    names = numbered(iter(memory.boxes))
-    allowed = int(MOST_SHUT * len(balancer.workers)) - balancer.shut
+        return Adopted(reason="it is from the future: the clock was set back")
+    if age > max_age:
+        return Adopted(age, reason=f"it is {age / SECOND:.0f} s old")
+    adopted = Adopted(age)
+    adopt_fleet(balancer, state, age, adopted)
+    _adopt_buckets(balancer, state, now, age, adopted)
+    names = names_by_number(iter(state.boxes))
+    allowed = int(MAX_EJECTED_SHARE * len(balancer.workers)) - balancer.shut
     for number, name in names.items():
-        worker, box = balancer.workers.get(number), memory.boxes[name]
-        # Both clocks' starts are told in Unix time; a box that has started since is another box.
+        worker, box = balancer.workers.get(number), state.boxes[name]
+        # Compared in Unix time.  What was learned of a box does not hold after it has restarted.
         started = worker.started - now + unix if worker is not None and worker.started else 0
-        if worker is None or abs(started - box.started) > SAME_START:
-            found.passed += 1
+        if worker is None or abs(started - box.started) > START_TOLERANCE:
+            adopted.skipped += 1
             continue
-        allowed -= believe_box(balancer, worker, box, now, age, allowed > 0)
-        found.boxes += 1
-    return found
+        allowed -= adopt_box(balancer, worker, box, now, age, allowed > 0)
+        adopted.boxes += 1
+    return adopted
+
 
+def adopt_fleet(
+    balancer: Any, state: LearnedState, age: int, adopted: Adopted, source_weight: float = 1.0
+) -> None:
+    """Adopts the values of the whole fleet and counts them in `adopted`.
 
-def believe_fleet(balancer: Any, memory: Memory, age: int, found: Believed, share: float = 1.0) -> None:
-    """The fleet's values; `share`: how far the teller is trusted beside its age."""
+    `age`: microseconds; `source_weight`: multiplies the weight by age, 0 to 1."""
     fleet = balancer.fleet
     for name in VALUES:
         if name in ("slot_time", "slots"):
             continue
-        place: Any = fleet if name in OF_FLEET else balancer
-        far, value = share * weight(name, age), memory.values.get(name)
-        if far < LEAST_WEIGHT or not sound(value, name):
+        owner: Any = fleet if name in OF_FLEET else balancer
+        factor, value = source_weight * weight(name, age), state.values.get(name)
+        if factor < MIN_WEIGHT or not is_valid(value, name):
             continue
-        old = getattr(place, name)
-        # A value that a fresh start does not have has nothing to fade to.
-        whole = old is None or (name == "mean_hint" and not old)
-        setattr(place, name, value if whole else old + far * (value - old))
-        found.values += 1
-    time, slots = memory.values.get("slot_time"), memory.values.get("slots")
-    far = share * weight("slots", age)
-    # Both fade alike: their quotient, the mean run time, stays.
-    if sound(time, "slot_time") and sound(slots, "slots") and slots and far >= LEAST_WEIGHT:
-        fleet.slot_time += far * time
-        fleet.slots += far * slots
-        found.values += 1
-    for name, table, told in (
-        ("most_free", fleet.most_free, memory.most_free),
-        ("speeds", balancer.speeds, memory.speeds),
+        old = getattr(owner, name)
+        # Without a value of its own there is nothing to mix the adopted one with.
+        replace = old is None or (name == "mean_hint" and not old)
+        setattr(owner, name, value if replace else old + factor * (value - old))
+        adopted.values += 1
+    time, slots = state.values.get("slot_time"), state.values.get("slots")
+    factor = source_weight * weight("slots", age)
+    # Both get the same weight, so their quotient, the mean run time, does not change.
+    if is_valid(time, "slot_time") and is_valid(slots, "slots") and slots and factor >= MIN_WEIGHT:
+        fleet.slot_time += factor * time
+        fleet.slots += factor * slots
+        adopted.values += 1
+    for name, table, learned in (
+        ("most_free", fleet.most_free, state.most_free),
+        ("speeds", balancer.speeds, state.speeds),
     ):
         if weight(name, age):
-            for kind, value in list(told.items())[:MOST_KINDS]:
-                if 0 <= kind < balancer.told.kinds and sound(value, name):
+            for kind, value in list(learned.items())[:MAX_KINDS]:
+                if 0 <= kind < balancer.told.kinds and is_valid(value, name):
                     table[kind] = max(value, table.get(kind, 0.0)) if name == "most_free" else value
-                    found.values += 1
+                    adopted.values += 1
 
 
-def _buckets(balancer: Any, memory: Memory, now: int, age: int, found: Believed) -> None:
-    for bucket, told in zip(balancer.buckets, memory.buckets):
-        if not sound(told.tokens, "tokens") or not weight("tokens", age):
+def _adopt_buckets(balancer: Any, state: LearnedState, now: int, age: int, adopted: Adopted) -> None:
+    for bucket, learned in zip(balancer.buckets, state.buckets):
+        if not is_valid(learned.tokens, "tokens") or not weight("tokens", age):
             continue
-        rate = told.rate if told.rate is not None and sound(told.rate, "bucket_rate") else None
-        bucket.tokens = min(bucket.burst, told.tokens + (rate or 0.0) * age)
+        rate = learned.rate if learned.rate is not None and is_valid(learned.rate, "bucket_rate") else None
+        bucket.tokens = min(bucket.burst, learned.tokens + (rate or 0.0) * age)
         bucket.at = now
         if rate is not None and weight("bucket_rate", age):
             bucket.rate = rate
-        found.values += 1
-    for name, value in (("retries", memory.retries),):
-        if sound(value, "budget"):
-            old, far = getattr(balancer, name), weight("budget", age)
-            # Both begin at half of what may be saved.
-            setattr(balancer, name, min(2.0 * old, old + far * (value - old)))
-            found.values += 1
+        adopted.values += 1
+    for name, value in (("retries", state.retries),):
+        if is_valid(value, "budget"):
+            old, factor = getattr(balancer, name), weight("budget", age)
+            # A fresh budget starts at half of its maximum, so the maximum is twice `old`.
+            setattr(balancer, name, min(2.0 * old, old + factor * (value - old)))
+            adopted.values += 1
 
 
-def believe_box(
+def adopt_box(
     balancer: Any,
     worker: Any,
-    box: Box,
+    box: BoxState,
     now: int,
     age: int,
-    may_shut: bool,
-    share: float = 1.0,
+    may_eject: bool,
+    source_weight: float = 1.0,
     seen: bool = False,
 ) -> int:
-    """Takes over what was learned of a box that the node's own list names; gives 1 if it was shut out.
+    """Adopts what was learned of a box that is on the node's own list; returns 1 if the box was ejected.
 
-    `seen`: it has given this node a sign of life, which says more than strikes of before."""
+    `now`, `age`: microseconds; `may_eject`: whether the share of ejected boxes allows one more; `seen`: the
+    box has given this node a sign of life, which outweighs strikes and trust from before."""
 
-    def faded(name: str, value: float, fresh: float) -> float:
-        far = share * weight(name, age)
-        return fresh + far * (value - fresh) if sound(value, name) and far >= LEAST_WEIGHT else fresh
+    def decayed(name: str, value: float, fresh: float) -> float:
+        factor = source_weight * weight(name, age)
+        return fresh + factor * (value - fresh) if is_valid(value, name) and factor >= MIN_WEIGHT else fresh
 
     kind = balancer.speeds.get(worker.kind, 0.0)
-    # Eased towards its kind's each second, which must be known.
-    if box.speed and kind and sound(box.speed, "speed") and weight("speed", age) >= LEAST_WEIGHT:
-        worker.speed = faded("speed", min(box.speed, 2.0 * kind), kind)
-    worker.errors = max(worker.errors, faded("errors", box.errors, 0.0))
-    left = box.ill - age
-    if sound(box.ill, "ill") and weight("ill", age) and left > 0:
-        worker.ill_until = max(worker.ill_until, now + int(share * left))
+    # A worker's speed is moved towards that of its kind each second, so the speed of the kind must be known.
+    if box.speed and kind and is_valid(box.speed, "speed") and weight("speed", age) >= MIN_WEIGHT:
+        worker.speed = decayed("speed", min(box.speed, 2.0 * kind), kind)
+    worker.errors = max(worker.errors, decayed("errors", box.errors, 0.0))
+    left = box.unhealthy_left - age
+    if is_valid(box.unhealthy_left, "unhealthy_left") and weight("unhealthy_left", age) and left > 0:
+        worker.ill_until = max(worker.ill_until, now + int(source_weight * left))
     if not seen:
-        worker.strikes = max(worker.strikes, round(faded("strikes", box.strikes, 0)))
-        worker.trust = min(worker.trust, faded("trust", box.trust, 1.0))
-        if sound(box.life, "life") and weight("life", age):
-            worker.life = max(0, now - box.life - age)
-    if box.cold is not None and worker.cold_until > now and sound(box.cold, "cold"):
-        worker.cold.tokens = min(worker.cold.tokens, box.cold)
-    left = box.shut - age
+        worker.strikes = max(worker.strikes, round(decayed("strikes", box.strikes, 0)))
+        worker.trust = min(worker.trust, decayed("trust", box.trust, 1.0))
+        if is_valid(box.alive_ago, "alive_ago") and weight("alive_ago", age):
+            worker.life = max(0, now - box.alive_ago - age)
+    if box.cold_tokens is not None and worker.cold_until > now and is_valid(box.cold_tokens, "cold_tokens"):
+        worker.cold.tokens = min(worker.cold.tokens, box.cold_tokens)
+    left = box.ejected_left - age
     if not (
-        may_shut
+        may_eject
         and worker.pools
         and not worker.shut_until
-        and sound(box.shut, "shut")
-        and weight("shut", age)
+        and is_valid(box.ejected_left, "ejected_left")
+        and weight("ejected_left", age)
         and left > 0
     ):
         return 0
@@ -359,42 +381,46 @@
     return 1
 
 
-class Listing:
-    """The list held, kept in discovery's form as its answers come in: what the module has is not enough to
-    find the boxes again."""
+class ServerList:
+    """The current server list in discovery's form, kept up to date from discovery's answers.
+
+    The decision module's own tables lack what is needed to find the boxes again, such as their names."""
 
     def __init__(self) -> None:
-        """Holds no list yet."""
+        """Starts with an empty list."""
         self._version, self._items = 0, dict[str, Mapping[str, Any]]()
         self.source = ""
 
-    def take(self, told: Mapping[str, Any], source: str) -> None:
-        """An answer that was fit to be taken in; `source`: whose."""
-        if told["full"]:
+    def apply(self, answer: Mapping[str, Any], source: str) -> None:
+        """Applies a valid answer of discovery, full or differential.  `source`: its host:port."""
+        if answer["full"]:
             self._items.clear()
-        for item in told["servers"]:
+        for item in answer["servers"]:
             if item.get("state") == "removed":
                 self._items.pop(item["id"], None)
             else:
                 self._items[item["id"]] = item
-        self._version, self.source = int(told["version"]), source
+        self._version, self.source = int(answer["version"]), source
 
-    def whole(self) -> dict[str, Any] | None:
-        """The list as one answer of discovery; None before the first entry."""
+    def full_answer(self) -> dict[str, Any] | None:
+        """Returns the list as one full answer of discovery, or None if it is empty."""
         if not self._items:
             return None
         return {"version": self._version, "full": True, "servers": list(self._items.values())}
 
 
-def newer(
-    memory: Memory, known: Mapping[str, Any] | None, source: str, age: int | None, most: int
+def newer_listing(
+    state: LearnedState, known: Mapping[str, Any] | None, source: str, age: int | None, max_age: int
 ) -> dict[str, Any] | None:
-    """The memory's list where it says more than the one that the node was given, else None."""
-    listing = memory.listing
-    if listing is None or age is None or age > most or memory.source != source:
+    """Returns the server list of a state if it is newer than the one that the node was given, else None.
+
+    `known`: the list that the node was given, if any; `source`: host:port of the node's discovery; `age`: of
+    the state, None if it is unknown; `max_age`: both in microseconds."""
+    listing = state.listing
+    if listing is None or age is None or age > max_age or state.source != source:
         return None
     try:
-        told, held = int(listing["version"]), int(known["version"]) if known else -1
+        version, known_version = int(listing["version"]), int(known["version"]) if known else -1
     except (KeyError, TypeError, ValueError):
         return None
-    return listing if told > held and listing.get("full") is True else None
+    return listing if version > known_version and listing.get("full") is True else None
--- a/violetsaddle/decide/warmth.py
+++ b/violetsaddle/decide/warmth.py
@@ -7,7 +7,7 @@
     answer    magic, kind, nonce u16, age u16 (10 ms), then the fleet's values (`FLEET`) and the kinds'
     boxes     magic, kind, nonce u16, age u16 (10 ms), then boxes by their marks (`BOX`)
 
-Values are floats of 16 bits or logarithms; each is checked against `memory.AGING` before it counts."""
+Values are floats of 16 bits or logarithms; each is checked against `memory.AGING_RULES` before it counts."""
 
 from __future__ import annotations
 
@@ -18,7 +18,7 @@
 from struct import Struct, error
 from typing import Any, NamedTuple
 
-from violetsaddle.decide.memory import Believed, Box, Memory, believe_box, believe_fleet, sound
+from violetsaddle.decide.memory import Adopted, BoxState, LearnedState, adopt_box, adopt_fleet, is_valid
 
 MS = 1_000  # microseconds
 SECOND = 1_000 * MS
@@ -67,8 +67,8 @@
     """What one peer has told: the fleet's values, and boxes by their marks."""
 
     age: int
-    fleet: Memory
-    boxes: dict[int, Box]
+    fleet: LearnedState
+    boxes: dict[int, BoxState]
 
 
 # Asking.
@@ -83,7 +83,7 @@
         self._others = [n for n in range(schedulers) if n != me]
         self._nonce, self._rounds = self._random.getrandbits(16), 0
         self._asked: dict[int, int] = {}  # and when, the first time
-        self._heard: dict[int, tuple[int, Memory | None, dict[int, Box]]] = {}
+        self._heard: dict[int, tuple[int, LearnedState | None, dict[int, BoxState]]] = {}
         self._until = now + LISTEN_FOR
         self.next = now  # when `due` is to be called again; after the end it means nothing
         self.over = not self._others
@@ -228,7 +228,7 @@
             )
 
 
-def _read(data: bytes, nonce: int) -> tuple[int, Memory | None, dict[int, Box]] | None:
+def _read(data: bytes, nonce: int) -> tuple[int, LearnedState | None, dict[int, BoxState]] | None:
     """An answer to this question: its age, the fleet's values where it holds them, and its boxes."""
     try:
         magic, kind, number, age = AGED.unpack_from(data)
@@ -236,19 +236,19 @@
             return None
         if kind == ANSWER:
             values = dict(zip(FLEET, VALUES.unpack_from(data, AGED.size)))
-            fleet = Memory(0, values=values)
+            fleet = LearnedState(0, values=values)
             for at in range(AGED.size + VALUES.size, len(data) - KIND.size + 1, KIND.size):
                 one, free, speed = KIND.unpack_from(data, at)
-                if sound(free, "most_free"):
+                if is_valid(free, "most_free"):
                     fleet.most_free[one] = free
-                if sound(speed, "speeds"):
+                if is_valid(speed, "speeds"):
                     fleet.speeds[one] = speed
             return age * 10 * MS, fleet, {}
         if kind == BOXES:
             boxes = {}
             for at in range(AGED.size, len(data) - BOX.size + 1, BOX.size):
                 mark, speed, errors, ill, trust = BOX.unpack_from(data, at)
-                boxes[mark] = Box(
+                boxes[mark] = BoxState(
                     0, 2.0 ** ((speed - 128) / 32), errors / 255, ill * 100 * MS, 0, trust / 255
                 )
             return age * 10 * MS, None, boxes
@@ -260,19 +260,19 @@
 # Believing.
 
 
-def believe(balancer: Any, heard: Sequence[Heard], now: int, began: int, own_runs: bool = False) -> Believed:
+def believe(balancer: Any, heard: Sequence[Heard], now: int, began: int, own_runs: bool = False) -> Adopted:
     """Takes over what peers have told, for boxes that the node's own list names.  `began`: when the node
     started, on the module's clock; `own_runs`: it has seen runs end since, and knows the fleet itself.
 
     Of the fleet's values the median counts, so that one peer that lies does not (of two the lower); of boxes
     the newest word.  Boxes that share a mark are left out, and so is what this node has seen itself."""
-    found = Believed(min((one.age for one in heard), default=0))
+    found = Adopted(min((one.age for one in heard), default=0))
     if not heard:
-        found.why = "no peer answered"
+        found.reason = "no peer answered"
         return found
     age = max(0, sorted(one.age for one in heard)[len(heard) // 2])
     if not own_runs:
-        believe_fleet(balancer, _middle(heard), age, found, OTHERS)
+        adopt_fleet(balancer, _middle(heard), age, found, OTHERS)
     marks = Counter(worker.mark for worker in balancer.workers.values())
     for worker in balancer.workers.values():
         if marks[worker.mark] > 1:
@@ -285,10 +285,10 @@
     return found
 
 
-def _believe_box(balancer: Any, worker: Any, box: Box, now: int, age: int) -> None:
+def _believe_box(balancer: Any, worker: Any, box: BoxState, now: int, age: int) -> None:
     kind = balancer.speeds.get(worker.kind, 0.0)
-    fair = Box(box.started, box.speed * kind, box.errors, box.ill, 0, max(FAIR, box.trust))
-    believe_box(balancer, worker, fair, now, age, False, OTHERS)
+    fair = BoxState(box.started, box.speed * kind, box.errors, box.unhealthy_left, 0, max(FAIR, box.trust))
+    adopt_box(balancer, worker, fair, now, age, False, OTHERS)
 
 
 def median_low(values: Iterable[float]) -> float:
@@ -297,17 +297,17 @@
     return ordered[(len(ordered) - 1) // 2]
 
 
-def _middle(heard: Sequence[Heard]) -> Memory:
-    whole = Memory(0)
+def _middle(heard: Sequence[Heard]) -> LearnedState:
+    whole = LearnedState(0)
     for name in FLEET:
-        told = [one.fleet.values[name] for one in heard if sound(one.fleet.values[name], name)]
+        told = [one.fleet.values[name] for one in heard if is_valid(one.fleet.values[name], name)]
         if told and name not in ("slot_time", "slots"):
             whole.values[name] = median_low(told)
     runs = [
         (m.values["slot_time"] / m.values["slots"], m.values["slots"])
         for m in (h.fleet for h in heard)
-        if sound(m.values["slot_time"], "slot_time")
-        and sound(m.values["slots"], "slots")
+        if is_valid(m.values["slot_time"], "slot_time")
+        and is_valid(m.values["slots"], "slots")
         and m.values["slots"] >= 1.0
     ]
     if runs:
--- a/violetsaddle/net/upgrade.py
+++ b/violetsaddle/net/upgrade.py
@@ -26,7 +26,7 @@
 from twisted.python.failure import Failure as Reason
 
 from violetsaddle.decide import upgrade as decide
-from violetsaddle.decide.memory import Listing
+from violetsaddle.decide.memory import ServerList
 from violetsaddle.decide.upgrade import Do, Event, New, Old
 from violetsaddle.net.callbacks import called, take_call
 from violetsaddle.net.deadlines import Deadline, Deadlines, Reactor
@@ -349,8 +349,8 @@
         self._ended_since: list[str] = []  # ids of requests that were over after the others were handed over
         self._calls: dict[int, tuple[bytes, Callable[[int], None], Deadline]] = {}  # passed on, unanswered
         self._called = 0
-        self._listing = Listing()
-        node.discovery.seen.append(self._listing.take)
+        self._listing = ServerList()
+        node.discovery.seen.append(self._listing.apply)
         self._acts: dict[Do, Callable[[], None]] = {
             Do.SPAWN: self._spawn,
             Do.GIVE: self._give,
@@ -607,7 +607,7 @@
         try:
             keeper = self._node.keeper
             learned = b"" if keeper is None else keeper.snapshot()
-            self._link.say(State(len(fds), self._listing.whole(), learned), fds)
+            self._link.say(State(len(fds), self._listing.full_answer(), learned), fds)
         except OSError as error:
             self._failed(f"can't be given the sockets: {error}")
             return
--- a/violetsaddle/net/warmth.py
+++ b/violetsaddle/net/warmth.py
@@ -9,7 +9,7 @@
 
 from violetsaddle import interface as api
 from violetsaddle.decide import memory, warmth
-from violetsaddle.decide.memory import Believed, Memory
+from violetsaddle.decide.memory import Adopted, LearnedState
 from violetsaddle.net.discovery import BadListError
 from violetsaddle.net.disk import BackgroundRunner, Disk, File, in_thread
 from violetsaddle.net.limits import MS, SECOND
@@ -44,11 +44,11 @@
             (config.told, config.classes, config.tenants, config.zones, config.kinds, config.fields)
         )
         self._most_age = int(told.believe_s * SECOND)
-        self._listing = memory.Listing()
-        node.discovery.seen.append(self._listing.take)
+        self._listing = memory.ServerList()
+        node.discovery.seen.append(self._listing.apply)
         self._began = node.deadlines.now()
         self._slots = 0.0  # of the fleet's estimate as the node began with it
-        self._believed: Believed | None = None
+        self._believed: Adopted | None = None
         self._writing = self._failing = self._closed = self._final = False
         self._tries_left = LAST_TRIES
         self._done: Callable[[], None] | None = None  # waits for the last write
@@ -63,7 +63,9 @@
         node, listing = self._node, self._listing
         unix = node.clock.unix()
         made = node.requests.consult(
-            lambda balancer, now: memory.learned(balancer, now, unix, node.requests.ids(), listing.whole())
+            lambda balancer, now: memory.collect(
+                balancer, now, unix, node.requests.ids(), listing.full_answer()
+            )
         )
         made.source = listing.source
         return snapshots.encode(made, self._digest, self._told.snapshot_most_kb << 10)
@@ -87,13 +89,13 @@
         if self._disk is not None:
             self._later()
 
-    def _recall(self, old: Memory) -> None:
+    def _recall(self, old: LearnedState) -> None:
         node, unix = self._node, self._node.clock.unix()
         # Facts: they hold however old they are and whatever the clocks say.
         node.requests.remember(old.ids)
         age = memory.age_of(old, node.deadlines.now(), unix)
         host, port = node.config.discovery
-        listing = memory.newer(old, node.config.known, f"{host}:{port}", age, self._most_age)
+        listing = memory.newer_listing(old, node.config.known, f"{host}:{port}", age, self._most_age)
         if listing is not None:
             try:
                 node.discovery.take(listing, api.DISK)
@@ -101,17 +103,17 @@
                 listing = None
                 node.counters.say(f"snapshot: its list is none: {error}"[:300])
         found = self._believed = node.requests.consult(
-            lambda balancer, now: memory.believe(balancer, old, now, unix, self._most_age)
+            lambda balancer, now: memory.adopt(balancer, old, now, unix, self._most_age)
         )
         ids = f"{len(old.ids)} ids" + (f", list {listing['version']}" if listing is not None else "")
-        if found.why:
+        if found.reason:
             node.counters.add("snapshot_too_old")
-            node.counters.say(f"snapshot: {found.why}: not believed but for {ids}")
+            node.counters.say(f"snapshot: {found.reason}: not believed but for {ids}")
             return
         node.counters.add("snapshot_believed")
         node.counters.say(
             f"snapshot: {found.age / SECOND:.1f} s old, believed in {found.values} values, for "
-            f"{found.boxes} servers ({found.passed} passed over), {ids}"
+            f"{found.boxes} servers ({found.skipped} passed over), {ids}"
         )
 
     def _later(self) -> None:
@@ -202,7 +204,7 @@
         self._peers, peers.aside = peers, self._aside
         self._answering = warmth.Answering(told.me, now)
         believed = self._believed
-        if believed is not None and not believed.why and believed.age <= YOUNG:
+        if believed is not None and not believed.reason and believed.age <= YOUNG:
             return
         tier = min(told.schedulers, len(node.config.peers))
         self._asking = warmth.Asking(told.me, tier, node.config.seed, now)
@@ -223,14 +225,14 @@
 
     def _believe(self, asking: warmth.Asking) -> None:
         node = self._node
-        found: Believed = node.requests.consult(
+        found: Adopted = node.requests.consult(
             lambda balancer, now: warmth.believe(
                 balancer, asking.take(now), now, self._began, balancer.fleet.slots != self._slots
             )
         )
-        if found.why:
+        if found.reason:
             node.counters.add("warm_unanswered")
-            node.counters.say(f"warm start: {found.why}")
+            node.counters.say(f"warm start: {found.reason}")
             return
         node.counters.add("warm_believed")
         node.counters.say(
