--- a/tests/test_subscription.py
+++ b/tests/test_subscription.py
@@ -308,7 +308,7 @@
         """The module's own datagrams begin with 0 or 1, in a large tier with bit 7 set; the warm start's have
         a length of 2 modulo 3."""
         data = encode(5, "ff" * 16)
-        self.assertFalse(warmth.shaped(data))
+        self.assertFalse(warmth.is_warm_start_datagram(data))
         self.assertEqual(DATAGRAM.size % 3, 1)
         for nodes in (4, 40):
             told = Settings(classes=(RequestClass(1, 2),), schedulers=nodes, may_tell=True)
--- a/violetsaddle/decide/warmth.py
+++ b/violetsaddle/decide/warmth.py
@@ -1,13 +1,14 @@
-"""Warm starts: whom a starting node asks, whether a node answers, and what is believed of the answers.
+"""Warm starts: which peers a starting node asks, whether a node answers, and what is adopted of the answers.
 
-Datagrams hold 256 bytes at most.  The module's tellings begin with 0 or 1, these with the magic: a node that
-does not know them passes over them.  All numbers are big-endian.
+A datagram holds at most 256 bytes.  The decision module's own datagrams begin with 0 or 1, these begin with
+`MAGIC`; a node that does not know them ignores them.  All numbers are big-endian.
 
-    question  magic, kind, nonce u16, numbers u16 of those asked
-    answer    magic, kind, nonce u16, age u16 (10 ms), then the fleet's values (`FLEET`) and the kinds'
-    boxes     magic, kind, nonce u16, age u16 (10 ms), then boxes by their marks (`BOX`)
+    question  magic, kind, nonce u16, numbers u16 of the nodes that are asked
+    answer    magic, kind, nonce u16, age u16 (10 ms), then the values of the fleet (`FLEET`) and of the kinds
+    boxes     magic, kind, nonce u16, age u16 (10 ms), then boxes by their marks (`BOX_ENTRY`)
 
-Values are floats of 16 bits or logarithms; each is checked against `memory.AGING_RULES` before it counts."""
+Values of the fleet and of the kinds are 32-bit floats; those of a box are one byte each, its speed on a
+logarithmic scale.  Each value is checked against `memory.AGING_RULES` before it is adopted."""
 
 from __future__ import annotations
 
@@ -25,231 +26,268 @@
 MAGIC = 0xD7
 VERSION = 2
 QUESTION, ANSWER, BOXES = VERSION << 4 | 1, VERSION << 4 | 2, VERSION << 4 | 3
-MOST = 254  # bytes: the longest with a length of 2 modulo 3 that a datagram may have
+MAX_DATAGRAM = 254  # bytes: the longest allowed one whose length is 2 modulo 3
 
 # Asking.
-AT_ONCE = 2  # peers asked in a round
-ROUNDS = 3
-ROUND_FOR = 60 * MS  # drawn from half to one and a half of it: nodes started together must not ask together
-LISTEN_FOR = SECOND
-ENOUGH = 2  # answers; fewer count when a round is over
+PEERS_PER_ROUND = 2
+MAX_ROUNDS = 3
+ROUND_DURATION = 60 * MS  # drawn from half to one and a half of it, so that nodes started together spread out
+LISTEN_DURATION = SECOND
+ENOUGH_ANSWERS = 2  # one is enough once a round is over
 # Answering.
-ANSWERS_A_SECOND, ANSWERS_SAVED = 10.0, 5.0
-MOST_PARTS = 26  # datagrams of boxes in an answer, by need: a thousand boxes take 25
-GROWN = 2 * SECOND  # who has run for less knows no more than who asks
-RUNS = 5.0  # slots' worth of own runs behind an answer
-KEPT_NONCES = 4096
-# Believing.
-OTHERS = 0.7  # how far a peer's word counts beside its age: its halls and clients are not this node's
-FAIR = 0.5  # the least trust that a peer's word leaves: its way to a box may be cut, not the box
-MOST_RUNS = 10.0  # slots' worth of own runs that all answers together count for
-
-HEAD = Struct(">BBH")
-AGED = Struct(">BBHH")
+ANSWERS_PER_SECOND = 10.0
+ANSWER_BURST = 5.0
+MAX_BOX_DATAGRAMS = 26  # in one answer, the most informative boxes first; a thousand boxes take 25
+MIN_UPTIME = 2 * SECOND  # a node that has run for less knows no more than the one that asks
+MIN_RUN_SLOTS = 5.0  # of recent own runs that an answer must rest on
+MAX_NONCES = 4096  # kept to detect duplicate questions
+# Adopting.
+PEER_WEIGHT = 0.7  # beside the weight by age: a peer's zone and clients are not those of this node
+MIN_PEER_TRUST = 0.5  # a peer's word lowers trust no further: its path to a box may be cut, not the box down
+MAX_RUN_SLOTS = 10.0  # of own runs, as which all answers together count at most
+
+HEADER = Struct(">BBH")
+ANSWER_HEADER = Struct(">BBHH")
 FLEET = ("slot_time", "slots", "pace", "mean_hint", "pressure", "crowd", "own_rate")
-VALUES = Struct(f">{len(FLEET)}f")
-KIND = Struct(">Bff")  # number, most free slots (below 0: unknown), mean speed (0: unknown)
-BOX = Struct(">HBBBB")  # mark, speed over its kind's, errors, ill (100 ms left), trust
-MOST_KINDS = 16
+FLEET_VALUES = Struct(f">{len(FLEET)}f")
+KIND_ENTRY = Struct(">Bff")  # number, most free slots (below 0: unknown), mean speed (0: unknown)
+BOX_ENTRY = Struct(">HBBBB")  # mark, speed over that of its kind, errors, unhealthy for (100 ms), trust
+MAX_KINDS = 16
 
 
-def shaped(data: bytes) -> bool:
-    """Whether a datagram is one of these."""
-    return len(data) % 3 == 2 and HEAD.size <= len(data) <= MOST and data[0] == MAGIC
+def is_warm_start_datagram(data: bytes) -> bool:
+    """Whether a datagram belongs to the warm start, judged by its length and its first byte."""
+    return len(data) % 3 == 2 and HEADER.size <= len(data) <= MAX_DATAGRAM and data[0] == MAGIC
 
 
 def padded(data: bytes) -> bytes:
-    """The datagram with up to two zero bytes behind it, so that its length tells it from the module's."""
+    """Returns a datagram with up to two zero bytes appended, so that its length is 2 modulo 3.
+
+    No datagram of the decision module has such a length."""
     return data + bytes((2 - len(data)) % 3)
 
 
-class Heard(NamedTuple):
-    """What one peer has told: the fleet's values, and boxes by their marks."""
+class PeerAnswer(NamedTuple):
+    """What one peer has answered."""
 
-    age: int
-    fleet: LearnedState
-    boxes: dict[int, BoxState]
+    age: int  # microseconds
+    fleet: LearnedState  # holds only values of the fleet and of the kinds
+    boxes: dict[int, BoxState]  # by mark
 
 
 # Asking.
 
 
-class Asking:
-    """A node's questions at its start.  Calls give datagrams to send, as (peer's number, bytes)."""
+class WarmStartQuery:
+    """The questions of a starting node and the answers to them.  All times are microseconds."""
 
     def __init__(self, me: int, schedulers: int, seed: int, now: int) -> None:
-        """`me`: this node's number of `schedulers`; `seed`: whom it asks first; `now`: microseconds."""
+        """`me`: this node's number, below `schedulers`; `seed`: decides which peers are asked first."""
         self._random = Random(seed)
-        self._others = [n for n in range(schedulers) if n != me]
+        self._peers = [n for n in range(schedulers) if n != me]
         self._nonce, self._rounds = self._random.getrandbits(16), 0
-        self._asked: dict[int, int] = {}  # and when, the first time
-        self._heard: dict[int, tuple[int, LearnedState | None, dict[int, BoxState]]] = {}
-        self._until = now + LISTEN_FOR
-        self.next = now  # when `due` is to be called again; after the end it means nothing
-        self.over = not self._others
+        self._first_asked: dict[int, int] = {}  # when each peer was first asked
+        # By peer: when its state was collected, the values of the fleet if they have come, and its boxes.
+        self._answers: dict[int, tuple[int, LearnedState | None, dict[int, BoxState]]] = {}
+        self._deadline = now + LISTEN_DURATION
+        self.next_at = now  # when `next_round` is to be called again; of no meaning once `finished`
+        self.finished = not self._peers
 
     @property
-    def answered(self) -> int:
-        """How many peers have told the fleet's values."""
-        return sum(fleet is not None for _, fleet, _ in self._heard.values())
+    def answer_count(self) -> int:
+        """How many peers have answered with the values of the fleet."""
+        return sum(fleet is not None for _, fleet, _ in self._answers.values())
+
+    def next_round(self, now: int) -> list[tuple[int, bytes]]:
+        """Returns the questions of the next round, each as (number of the peer, datagram).
 
-    def due(self, now: int) -> list[tuple[int, bytes]]:
-        """The next round, if there is to be one.  Once enough is heard, `take` is to be called instead."""
-        if self.over or self._rounds >= ROUNDS or self.answered:
+        Empty after the last round and once a peer has answered."""
+        if self.finished or self._rounds >= MAX_ROUNDS or self.answer_count:
             return []
         self._rounds += 1
-        left = [n for n in self._others if n not in self._asked] or self._others
-        self._random.shuffle(left)
-        chosen = left[:AT_ONCE]
+        candidates = [n for n in self._peers if n not in self._first_asked] or self._peers
+        self._random.shuffle(candidates)
+        chosen = candidates[:PEERS_PER_ROUND]
         for n in chosen:
-            self._asked.setdefault(n, now)
-        wait = int(ROUND_FOR * (0.5 + self._random.random()))
-        self.next = min(self._until, now + wait) if self._rounds < ROUNDS else self._until
-        named = (chosen * AT_ONCE)[:AT_ONCE]
-        data = HEAD.pack(MAGIC, QUESTION, self._nonce) + b"".join(n.to_bytes(2, "big") for n in named)
+            self._first_asked.setdefault(n, now)
+        wait = int(ROUND_DURATION * (0.5 + self._random.random()))
+        self.next_at = min(self._deadline, now + wait) if self._rounds < MAX_ROUNDS else self._deadline
+        asked = (chosen * PEERS_PER_ROUND)[:PEERS_PER_ROUND]
+        data = HEADER.pack(MAGIC, QUESTION, self._nonce) + b"".join(n.to_bytes(2, "big") for n in asked)
         return [(n, padded(data)) for n in chosen]
 
-    def hear(self, now: int, origin: int, data: bytes) -> None:
-        """A datagram from a peer; whatever is none of the answers asked for is passed over."""
-        if self.over or origin not in self._asked:
+    def receive(self, now: int, origin: int, data: bytes) -> None:
+        """Takes a datagram from the peer `origin`; ignores one that does not answer this node's question."""
+        if self.finished or origin not in self._first_asked:
             return
-        answer = _read(data, self._nonce)
+        answer = _parse_answer(data, self._nonce)
         if answer is None:
             return
         age, fleet, boxes = answer
-        # How long it was on its way is not known: it counts from the question, so that it is never older
-        # than it is taken to be.
-        at = self._asked[origin] - age
-        _, told, known = self._heard.get(origin, (at, None, {}))
-        self._heard[origin] = (at, told if fleet is None else fleet, {**boxes, **known})
+        # The transit time is unknown.  The age counts from the question, so the state is never taken to be
+        # younger than it is.
+        collected_at = self._first_asked[origin] - age
+        _, known_fleet, known_boxes = self._answers.get(origin, (collected_at, None, {}))
+        self._answers[origin] = (
+            collected_at,
+            known_fleet if fleet is None else fleet,
+            {**boxes, **known_boxes},
+        )
 
     def ready(self, now: int) -> bool:
-        """Whether to believe now what was heard; it is done once."""
-        last = self._rounds > 0 and now >= self.next
-        return not self.over and self.answered >= (1 if last else min(ENOUGH, len(self._others)))
-
-    def late(self, now: int) -> bool:
-        """The time for asking is up."""
-        return not self.over and now >= self._until
-
-    def take(self, now: int) -> list[Heard]:
-        """Ends the asking; what was heard, the newest first."""
-        self.over = True
-        heard = [
-            Heard(now - at, fleet, boxes) for at, fleet, boxes in self._heard.values() if fleet is not None
+        """Whether enough peers have answered to call `finish` now."""
+        round_over = self._rounds > 0 and now >= self.next_at
+        return not self.finished and self.answer_count >= (
+            1 if round_over else min(ENOUGH_ANSWERS, len(self._peers))
+        )
+
+    def timed_out(self, now: int) -> bool:
+        """Whether `LISTEN_DURATION` has passed before `finish` was called."""
+        return not self.finished and now >= self._deadline
+
+    def finish(self, now: int) -> list[PeerAnswer]:
+        """Ends the query and returns the answers, the newest first."""
+        self.finished = True
+        answers = [
+            PeerAnswer(now - at, fleet, boxes)
+            for at, fleet, boxes in self._answers.values()
+            if fleet is not None
         ]
-        return sorted(heard, key=lambda one: one.age)
+        return sorted(answers, key=lambda answer: answer.age)
 
 
 # Answering.
 
 
-class Answering:
-    """Whether and what a node answers."""
+class WarmStartResponder:
+    """Answers the questions of starting nodes, at a limited rate.  All times are microseconds."""
 
     def __init__(self, me: int, now: int) -> None:
-        """`me`: this node's number; `now`: when it started, microseconds."""
-        self._me, self._began = me, now
-        self._tokens, self._at = ANSWERS_SAVED, now
-        self._done: OrderedDict[tuple[int, int], None] = OrderedDict()  # answered: a doubled question is one
-        self.held_back = 0
+        """`me`: this node's number; `now`: when it started."""
+        self._me, self._started_at = me, now
+        self._tokens, self._refilled_at = ANSWER_BURST, now
+        # Questions answered, by origin and nonce: a duplicate is not answered again.
+        self._answered: OrderedDict[tuple[int, int], None] = OrderedDict()
+        self.throttled = 0  # questions left unanswered because of the rate limit
 
     def answer(self, balancer: Any, now: int, origin: int, data: bytes) -> list[bytes]:
-        """The datagrams for a question; none where it is no question to this node, where this node knows too
-        little of its own, or where it has answered enough."""
-        asked = _asked(data)
-        if asked is None or self._me not in asked[1] or origin == self._me:
+        """Returns the datagrams that answer a question.
+
+        Empty where the datagram is not a question to this node or is a duplicate, where this node has seen
+        too little itself, and beyond the rate limit."""
+        question = _parse_question(data)
+        if question is None or self._me not in question[1] or origin == self._me:
             return []
-        if (origin, asked[0]) in self._done or now - self._began < GROWN or balancer.fleet.slots < RUNS:
+        if (
+            (origin, question[0]) in self._answered
+            or now - self._started_at < MIN_UPTIME
+            or balancer.fleet.slots < MIN_RUN_SLOTS
+        ):
             return []
-        self._tokens = min(ANSWERS_SAVED, self._tokens + (now - self._at) * ANSWERS_A_SECOND / SECOND)
-        self._at = now
+        self._tokens = min(
+            ANSWER_BURST, self._tokens + (now - self._refilled_at) * ANSWERS_PER_SECOND / SECOND
+        )
+        self._refilled_at = now
         if self._tokens < 1.0:
-            self.held_back += 1
+            self.throttled += 1
             return []
         self._tokens -= 1.0
-        self._done[origin, asked[0]] = None
-        if len(self._done) > KEPT_NONCES:
-            self._done.popitem(last=False)
-        return told(balancer, now, asked[0])
+        self._answered[origin, question[0]] = None
+        if len(self._answered) > MAX_NONCES:
+            self._answered.popitem(last=False)
+        return encode_answer(balancer, now, question[0])
 
 
-def _asked(data: bytes) -> tuple[int, Sequence[int]] | None:
-    if not shaped(data) or data[1] != QUESTION:
+def _parse_question(data: bytes) -> tuple[int, Sequence[int]] | None:
+    """Returns the nonce of a question and the numbers of the nodes asked, or None if it is not a question."""
+    if not is_warm_start_datagram(data) or data[1] != QUESTION:
         return None
-    numbers = [int.from_bytes(data[at : at + 2], "big") for at in range(HEAD.size, len(data) - 1, 2)]
-    return HEAD.unpack_from(data)[2], numbers[:AT_ONCE]
+    numbers = [int.from_bytes(data[at : at + 2], "big") for at in range(HEADER.size, len(data) - 1, 2)]
+    return HEADER.unpack_from(data)[2], numbers[:PEERS_PER_ROUND]
 
 
-def told(balancer: Any, now: int, nonce: int) -> list[bytes]:
-    """What a node knows, in datagrams."""
+def encode_answer(balancer: Any, now: int, nonce: int) -> list[bytes]:
+    """Returns what a node knows as datagrams: first the values of the fleet, then the boxes."""
     fleet = balancer.fleet
     last = max((worker.life for worker in balancer.workers.values()), default=0)
     age = max(0, min(0xFFFF, (now - last) // (10 * MS))) if last else 0xFFFF
     values = [getattr(fleet if name in ("slot_time", "slots", "pace") else balancer, name) for name in FLEET]
-    data = AGED.pack(MAGIC, ANSWER, nonce, age) + VALUES.pack(*(_single(v) for v in values))
-    kinds = sorted({*fleet.most_free, *balancer.speeds})[:MOST_KINDS]
+    data = ANSWER_HEADER.pack(MAGIC, ANSWER, nonce, age) + FLEET_VALUES.pack(*(_float32(v) for v in values))
+    kinds = sorted({*fleet.most_free, *balancer.speeds})[:MAX_KINDS]
     for kind in kinds:
         if kind < 256:
-            data += KIND.pack(
-                kind, _single(fleet.most_free.get(kind, -1.0)), _single(balancer.speeds.get(kind, 0.0))
+            data += KIND_ENTRY.pack(
+                kind, _float32(fleet.most_free.get(kind, -1.0)), _float32(balancer.speeds.get(kind, 0.0))
             )
-    found = [padded(data)]
-    most = (MOST - 2 - AGED.size) // BOX.size
-    boxes = sorted(_worth_telling(balancer, now), key=lambda pair: -pair[0])[: MOST_PARTS * most]
-    for at in range(0, len(boxes), most):
-        part = AGED.pack(MAGIC, BOXES, nonce, age) + b"".join(box for _, box in boxes[at : at + most])
-        found.append(padded(part))
-    return found
+    datagrams = [padded(data)]
+    boxes_per_datagram = (MAX_DATAGRAM - 2 - ANSWER_HEADER.size) // BOX_ENTRY.size
+    boxes = sorted(_informative_boxes(balancer, now), key=lambda pair: -pair[0])[
+        : MAX_BOX_DATAGRAMS * boxes_per_datagram
+    ]
+    for at in range(0, len(boxes), boxes_per_datagram):
+        part = ANSWER_HEADER.pack(MAGIC, BOXES, nonce, age) + b"".join(
+            box for _, box in boxes[at : at + boxes_per_datagram]
+        )
+        datagrams.append(padded(part))
+    return datagrams
 
 
-def _single(value: float) -> float:
+def _float32(value: float) -> float:
+    """Returns the value, or 0 if a 32-bit float can't hold it."""
     return value if abs(value) < 3e38 else 0.0
 
 
-def _worth_telling(balancer: Any, now: int) -> Iterator[tuple[float, bytes]]:
-    """Boxes with how much there is to say of each; those that are as all are left out."""
+def _informative_boxes(balancer: Any, now: int) -> Iterator[tuple[float, bytes]]:
+    """Yields encoded boxes, each after a score of how far it differs from a usual box of its kind.
+
+    Boxes that hardly differ are left out."""
     for worker in balancer.workers.values():
         kind = balancer.speeds.get(worker.kind, 0.0)
         ratio = worker.speed / kind if worker.speed and kind else 1.0
-        ill = max(0, worker.ill_until - now)
-        much = abs(math.log(max(ratio, 1e-3))) + 4.0 * (ill > 0) + worker.errors + 1.0 - worker.trust
-        if much > 0.1:
+        unhealthy_left = max(0, worker.ill_until - now)
+        score = (
+            abs(math.log(max(ratio, 1e-3))) + 4.0 * (unhealthy_left > 0) + worker.errors + 1.0 - worker.trust
+        )
+        if score > 0.1:
             speed = min(255, max(1, round(128 + 32 * math.log2(max(ratio, 1e-3)))))
             yield (
-                much,
-                BOX.pack(
+                score,
+                BOX_ENTRY.pack(
                     worker.mark,
                     speed,
                     round(255 * min(1.0, worker.errors)),
-                    min(255, ill // (100 * MS)),
+                    min(255, unhealthy_left // (100 * MS)),
                     round(255 * min(1.0, worker.trust)),
                 ),
             )
 
 
-def _read(data: bytes, nonce: int) -> tuple[int, LearnedState | None, dict[int, BoxState]] | None:
-    """An answer to this question: its age, the fleet's values where it holds them, and its boxes."""
+def _parse_answer(data: bytes, nonce: int) -> tuple[int, LearnedState | None, dict[int, BoxState]] | None:
+    """Returns the age (microseconds), the values of the fleet if it holds them, and the boxes by mark.
+
+    None if the datagram does not answer the question with this nonce."""
     try:
-        magic, kind, number, age = AGED.unpack_from(data)
-        if not shaped(data) or number != nonce:
+        magic, kind, answered_nonce, age = ANSWER_HEADER.unpack_from(data)
+        if not is_warm_start_datagram(data) or answered_nonce != nonce:
             return None
         if kind == ANSWER:
-            values = dict(zip(FLEET, VALUES.unpack_from(data, AGED.size)))
+            values = dict(zip(FLEET, FLEET_VALUES.unpack_from(data, ANSWER_HEADER.size)))
             fleet = LearnedState(0, values=values)
-            for at in range(AGED.size + VALUES.size, len(data) - KIND.size + 1, KIND.size):
-                one, free, speed = KIND.unpack_from(data, at)
+            for at in range(
+                ANSWER_HEADER.size + FLEET_VALUES.size, len(data) - KIND_ENTRY.size + 1, KIND_ENTRY.size
+            ):
+                number, free, speed = KIND_ENTRY.unpack_from(data, at)
                 if is_valid(free, "most_free"):
-                    fleet.most_free[one] = free
+                    fleet.most_free[number] = free
                 if is_valid(speed, "speeds"):
-                    fleet.speeds[one] = speed
+                    fleet.speeds[number] = speed
             return age * 10 * MS, fleet, {}
         if kind == BOXES:
             boxes = {}
-            for at in range(AGED.size, len(data) - BOX.size + 1, BOX.size):
-                mark, speed, errors, ill, trust = BOX.unpack_from(data, at)
+            for at in range(ANSWER_HEADER.size, len(data) - BOX_ENTRY.size + 1, BOX_ENTRY.size):
+                mark, speed, errors, unhealthy, trust = BOX_ENTRY.unpack_from(data, at)
                 boxes[mark] = BoxState(
-                    0, 2.0 ** ((speed - 128) / 32), errors / 255, ill * 100 * MS, 0, trust / 255
+                    0, 2.0 ** ((speed - 128) / 32), errors / 255, unhealthy * 100 * MS, 0, trust / 255
                 )
             return age * 10 * MS, None, boxes
     except error:
@@ -257,64 +295,78 @@
     return None
 
 
-# Believing.
+# Adopting.
+
 
+def adopt(
+    balancer: Any, answers: Sequence[PeerAnswer], now: int, started_at: int, own_runs: bool = False
+) -> Adopted:
+    """Adopts what peers have answered, for boxes on the node's own server list.
 
-def believe(balancer: Any, heard: Sequence[Heard], now: int, began: int, own_runs: bool = False) -> Adopted:
-    """Takes over what peers have told, for boxes that the node's own list names.  `began`: when the node
-    started, on the module's clock; `own_runs`: it has seen runs end since, and knows the fleet itself.
+    `answers`: the newest first; `started_at`: when the node started, on the monotonic clock, microseconds;
+    `own_runs`: since then the node has seen runs end, so it has an estimate of the fleet itself.
 
-    Of the fleet's values the median counts, so that one peer that lies does not (of two the lower); of boxes
-    the newest word.  Boxes that share a mark are left out, and so is what this node has seen itself."""
-    found = Adopted(min((one.age for one in heard), default=0))
-    if not heard:
-        found.reason = "no peer answered"
-        return found
-    age = max(0, sorted(one.age for one in heard)[len(heard) // 2])
+    Of each value of the fleet the median is adopted (of two the lower), so that one wrong peer does no harm;
+    of each box the newest answer.  Boxes that share a mark are left out, and so are boxes that have given
+    this node a sign of life."""
+    adopted = Adopted(min((answer.age for answer in answers), default=0))
+    if not answers:
+        adopted.reason = "no peer answered"
+        return adopted
+    age = max(0, sorted(answer.age for answer in answers)[len(answers) // 2])
     if not own_runs:
-        adopt_fleet(balancer, _middle(heard), age, found, OTHERS)
+        adopt_fleet(balancer, _median_state(answers), age, adopted, PEER_WEIGHT)
     marks = Counter(worker.mark for worker in balancer.workers.values())
     for worker in balancer.workers.values():
         if marks[worker.mark] > 1:
             continue
-        told = next(((one.age, one.boxes[worker.mark]) for one in heard if worker.mark in one.boxes), None)
-        if told is None or worker.life > began:
+        newest = next(
+            ((one.age, one.boxes[worker.mark]) for one in answers if worker.mark in one.boxes), None
+        )
+        if newest is None or worker.life > started_at:
             continue
-        _believe_box(balancer, worker, told[1], now, max(0, told[0]))
-        found.boxes += 1
-    return found
+        _adopt_box(balancer, worker, newest[1], now, max(0, newest[0]))
+        adopted.boxes += 1
+    return adopted
 
 
-def _believe_box(balancer: Any, worker: Any, box: BoxState, now: int, age: int) -> None:
+def _adopt_box(balancer: Any, worker: Any, box: BoxState, now: int, age: int) -> None:
     kind = balancer.speeds.get(worker.kind, 0.0)
-    fair = BoxState(box.started, box.speed * kind, box.errors, box.unhealthy_left, 0, max(FAIR, box.trust))
-    adopt_box(balancer, worker, fair, now, age, False, OTHERS)
+    limited = BoxState(
+        box.started, box.speed * kind, box.errors, box.unhealthy_left, 0, max(MIN_PEER_TRUST, box.trust)
+    )
+    adopt_box(balancer, worker, limited, now, age, False, PEER_WEIGHT)
 
 
 def median_low(values: Iterable[float]) -> float:
-    """The median; of two in the middle the lower.  The library's own would cost a node a megabyte."""
+    """Returns the median; of an even number of values the lower of the two in the middle.
+
+    Importing the `statistics` module instead would cost a node a megabyte of memory."""
     ordered = sorted(values)
     return ordered[(len(ordered) - 1) // 2]
 
 
-def _middle(heard: Sequence[Heard]) -> LearnedState:
-    whole = LearnedState(0)
+def _median_state(answers: Sequence[PeerAnswer]) -> LearnedState:
+    """Returns the medians of all valid values of the fleet and of the kinds.
+
+    Run times are compared by their mean, so the sums behind it are scaled to the median number of slots."""
+    median = LearnedState(0)
     for name in FLEET:
-        told = [one.fleet.values[name] for one in heard if is_valid(one.fleet.values[name], name)]
-        if told and name not in ("slot_time", "slots"):
-            whole.values[name] = median_low(told)
+        valid = [one.fleet.values[name] for one in answers if is_valid(one.fleet.values[name], name)]
+        if valid and name not in ("slot_time", "slots"):
+            median.values[name] = median_low(valid)
     runs = [
-        (m.values["slot_time"] / m.values["slots"], m.values["slots"])
-        for m in (h.fleet for h in heard)
-        if is_valid(m.values["slot_time"], "slot_time")
-        and is_valid(m.values["slots"], "slots")
-        and m.values["slots"] >= 1.0
+        (fleet.values["slot_time"] / fleet.values["slots"], fleet.values["slots"])
+        for fleet in (one.fleet for one in answers)
+        if is_valid(fleet.values["slot_time"], "slot_time")
+        and is_valid(fleet.values["slots"], "slots")
+        and fleet.values["slots"] >= 1.0
     ]
     if runs:
-        mean, slots = median_low(time for time, _ in runs), min(MOST_RUNS, median_low(s for _, s in runs))
-        whole.values["slot_time"], whole.values["slots"] = mean * slots, slots
-    for name, table in (("most_free", whole.most_free), ("speeds", whole.speeds)):
-        every = [getattr(one.fleet, name) for one in heard]
-        for kind in sorted({kind for one in every for kind in one}):
-            table[kind] = median_low(one[kind] for one in every if kind in one)
-    return whole
+        mean, slots = median_low(time for time, _ in runs), min(MAX_RUN_SLOTS, median_low(s for _, s in runs))
+        median.values["slot_time"], median.values["slots"] = mean * slots, slots
+    for name, table in (("most_free", median.most_free), ("speeds", median.speeds)):
+        tables = [getattr(one.fleet, name) for one in answers]
+        for kind in sorted({kind for one in tables for kind in one}):
+            table[kind] = median_low(one[kind] for one in tables if kind in one)
+    return median
--- a/violetsaddle/net/warmth.py
+++ b/violetsaddle/net/warmth.py
@@ -1,7 +1,7 @@
-"""Keeps what the node has learned: snapshots on a disk, and words from peers at the start.
+"""Keeps what the node has learned: writes snapshots to a disk, and asks peers at the start.
 
-Wires `decide.memory`, `decide.warmth` and `store.snapshots` to the node; imported only where one of them is
-switched on."""
+Connects `decide.memory`, `decide.warmth` and `store.snapshots` to the node.  Imported only where the operator
+file turns one of them on."""
 
 from __future__ import annotations
 
@@ -19,128 +19,140 @@
 from violetsaddle.store import snapshots
 from violetsaddle.store.files import DamagedError
 
-YOUNG = 2 * SECOND  # with a snapshot no older than this, peers are not asked
-LAST_TRIES = 8  # of the last snapshot; the program's end waits `Limits.farewell` for it
-LAST_PAUSE = 100 * MS  # between them
+FRESH_SNAPSHOT_AGE = 2 * SECOND  # peers are not asked if the snapshot is no older than this
+FINAL_WRITE_ATTEMPTS = 8  # the program waits at most `Limits.farewell` for them before it ends
+FINAL_WRITE_PAUSE = 100 * MS  # between two of them
 
 
-def keeper(told: Restart) -> Callable[[Node], Warmth]:
-    """What `Node` makes its keeper with, for the section of an operator file."""
+def keeper(restart: Restart) -> Callable[[Node], Warmth]:
+    """Returns the factory from which `Node` gets its keeper.
+
+    `restart`: the section of that name in the operator file."""
 
     def make(node: Node) -> Warmth:
-        return Warmth(node, told, File(told.snapshot) if told.snapshot else None, in_thread(node.reactor))
+        return Warmth(
+            node, restart, File(restart.snapshot) if restart.snapshot else None, in_thread(node.reactor)
+        )
 
     return make
 
 
 class Warmth:
-    """Implements `node.Keeper`."""
+    """A `node.Keeper` that writes snapshots and takes part in warm starts from peers."""
 
-    def __init__(self, node: Node, told: Restart, disk: Disk | None, elsewhere: BackgroundRunner) -> None:
-        """`disk`: None where no snapshot is kept; `elsewhere`: runs the writing of one."""
-        self._node, self._told, self._disk, self._elsewhere = node, told, disk, elsewhere
+    def __init__(
+        self, node: Node, restart: Restart, disk: Disk | None, run_in_background: BackgroundRunner
+    ) -> None:
+        """`disk`: None where no snapshot is kept; `run_in_background`: runs the writing of a snapshot."""
+        self._node, self._restart = node, restart
+        self._disk, self._run_in_background = disk, run_in_background
         config = node.config
         self._digest = snapshots.digest(
             (config.told, config.classes, config.tenants, config.zones, config.kinds, config.fields)
         )
-        self._most_age = int(told.believe_s * SECOND)
-        self._listing = memory.ServerList()
-        node.discovery.seen.append(self._listing.apply)
-        self._began = node.deadlines.now()
-        self._slots = 0.0  # of the fleet's estimate as the node began with it
-        self._believed: Adopted | None = None
-        self._writing = self._failing = self._closed = self._final = False
-        self._tries_left = LAST_TRIES
-        self._done: Callable[[], None] | None = None  # waits for the last write
+        self._max_age = int(restart.believe_s * SECOND)
+        self._server_list = memory.ServerList()
+        node.discovery.seen.append(self._server_list.apply)
+        self._started_at = node.deadlines.now()
+        self._initial_slots = 0.0  # of the estimate of the fleet, with which the node started
+        self._adopted: Adopted | None = None
+        self._writing = False
+        self._failing = False  # the last write failed
+        self._closed = False
+        self._final = False  # the final write has begun, or is left to a successor
+        self._attempts_left = FINAL_WRITE_ATTEMPTS
+        self._done: Callable[[], None] | None = None  # to be called after the final write
         self._peers: Peers | None = None
-        self._asking: warmth.Asking | None = None
-        self._answering: warmth.Answering | None = None
+        self._query: warmth.WarmStartQuery | None = None
+        self._responder: warmth.WarmStartResponder | None = None
 
     # Snapshots.
 
     def snapshot(self) -> bytes:
-        """What is known now, as bytes that `recall` takes."""
-        node, listing = self._node, self._listing
+        """Returns what the node has learned so far, as bytes that `recall` takes."""
+        node, server_list = self._node, self._server_list
         unix = node.clock.unix()
-        made = node.requests.consult(
+        state = node.requests.consult(
             lambda balancer, now: memory.collect(
-                balancer, now, unix, node.requests.ids(), listing.full_answer()
+                balancer, now, unix, node.requests.ids(), server_list.full_answer()
             )
         )
-        made.source = listing.source
-        return snapshots.encode(made, self._digest, self._told.snapshot_most_kb << 10)
+        state.source = server_list.source
+        return snapshots.encode(state, self._digest, self._restart.snapshot_most_kb << 10)
 
     def recall(self, data: bytes | None = None) -> None:
-        """Begins with what the disk holds, or with `data`."""
+        """Adopts the snapshot in `data`, or else the one on the disk.
+
+        A snapshot that can't be used is reported and ignored."""
         node = self._node
         try:
             if data is None and self._disk is not None:
                 data = self._disk.read()
             if data is not None:
-                self._recall(snapshots.decode(data, self._digest))
+                self._adopt_snapshot(snapshots.decode(data, self._digest))
             elif self._disk is not None:
                 node.counters.say("snapshot: there is none yet")
         except DamagedError as error:
             node.counters.add("snapshot_damaged")
             node.counters.say(f"snapshot: not used: {error}"[:300])
-        except Exception as error:  # guards against a fault of ours: a fresh start does no harm
+        except Exception as error:  # a fault of the program must not keep the node from starting
             node.counters.fault("snapshot: not used", error)
-        self._slots = node.requests.consult(lambda balancer, _: float(balancer.fleet.slots))
+        self._initial_slots = node.requests.consult(lambda balancer, _: float(balancer.fleet.slots))
         if self._disk is not None:
-            self._later()
+            self._schedule_write()
 
-    def _recall(self, old: LearnedState) -> None:
+    def _adopt_snapshot(self, state: LearnedState) -> None:
         node, unix = self._node, self._node.clock.unix()
-        # Facts: they hold however old they are and whatever the clocks say.
-        node.requests.remember(old.ids)
-        age = memory.age_of(old, node.deadlines.now(), unix)
+        # Ids are facts, not estimates: they hold at any age and whatever the clocks say.
+        node.requests.remember(state.ids)
+        age = memory.age_of(state, node.deadlines.now(), unix)
         host, port = node.config.discovery
-        listing = memory.newer_listing(old, node.config.known, f"{host}:{port}", age, self._most_age)
+        listing = memory.newer_listing(state, node.config.known, f"{host}:{port}", age, self._max_age)
         if listing is not None:
             try:
                 node.discovery.take(listing, api.DISK)
             except BadListError as error:
                 listing = None
-                node.counters.say(f"snapshot: its list is none: {error}"[:300])
-        found = self._believed = node.requests.consult(
-            lambda balancer, now: memory.adopt(balancer, old, now, unix, self._most_age)
+                node.counters.say(f"snapshot: its server list is not valid: {error}"[:300])
+        adopted = self._adopted = node.requests.consult(
+            lambda balancer, now: memory.adopt(balancer, state, now, unix, self._max_age)
         )
-        ids = f"{len(old.ids)} ids" + (f", list {listing['version']}" if listing is not None else "")
-        if found.reason:
+        ids = f"{len(state.ids)} ids" + (f", list {listing['version']}" if listing is not None else "")
+        if adopted.reason:
             node.counters.add("snapshot_too_old")
-            node.counters.say(f"snapshot: {found.reason}: not believed but for {ids}")
+            node.counters.say(f"snapshot: {adopted.reason}: nothing adopted except {ids}")
             return
         node.counters.add("snapshot_believed")
         node.counters.say(
-            f"snapshot: {found.age / SECOND:.1f} s old, believed in {found.values} values, for "
-            f"{found.boxes} servers ({found.skipped} passed over), {ids}"
+            f"snapshot: {adopted.age / SECOND:.1f} s old, adopted {adopted.values} values and the state of "
+            f"{adopted.boxes} servers ({adopted.skipped} skipped), {ids}"
         )
 
-    def _later(self) -> None:
-        self._node.deadlines.after(int(self._told.snapshot_every_s * SECOND), self._due)
+    def _schedule_write(self) -> None:
+        self._node.deadlines.after(int(self._restart.snapshot_every_s * SECOND), self._write_due)
 
-    def _due(self) -> None:
+    def _write_due(self) -> None:
         if self._closed:
             return
-        self._later()
+        self._schedule_write()
         if self._writing:
-            self._node.counters.add("snapshots_slow")  # the disk still has the last one
+            self._node.counters.add("snapshots_slow")  # the previous write is not over yet
         else:
             self._write()
 
     def _write(self) -> None:
         disk = self._disk
         if disk is None or self._node.paused:
-            return  # paused: the file is the other process's, which knows more
+            return  # while paused, the file belongs to the other process, which has learned more
         try:
             data = self.snapshot()
         except Exception as error:
             self._node.counters.fault("snapshot: can't be made", error)
             return
         self._writing = True
-        self._elsewhere(lambda: disk.write(data), self._written)
+        self._run_in_background(lambda: disk.write(data), self._write_finished)
 
-    def _written(self, error: Exception | None) -> None:
+    def _write_finished(self, error: Exception | None) -> None:
         self._writing = False
         counters = self._node.counters
         if error is None:
@@ -152,17 +164,17 @@
             if not self._failing:
                 why = getattr(error, "strerror", None) or f"{type(error).__name__}: {error}"
                 counters.say(
-                    f"snapshot: can't be written: {why} (tried again each {self._told.snapshot_every_s:g} s)"[
+                    f"snapshot: can't be written: {why} (retry every {self._restart.snapshot_every_s:g} s)"[
                         :300
                     ]
                 )
         self._failing = error is not None
         if not self._closed:
             return
-        if self._failing and self._final and self._tries_left > 1:
-            # Guards against ids that are forgotten because the disk failed for a moment.
-            self._tries_left -= 1
-            self._node.deadlines.after(LAST_PAUSE, self._write_again)
+        if self._failing and self._final and self._attempts_left > 1:
+            # Without the retry a short failure of the disk would lose the ids of jobs that ran.
+            self._attempts_left -= 1
+            self._node.deadlines.after(FINAL_WRITE_PAUSE, self._write_again)
         else:
             self._finish()
 
@@ -172,14 +184,14 @@
             self._finish()
 
     def leave(self) -> None:
-        """A successor goes on with what is known: from now on the file is its own."""
+        """Leaves the snapshot file to a successor process, which has taken over what was learned."""
         self._closed = self._final = True
 
     def close(self, done: Callable[[], None]) -> None:
-        """Writes the last one, once the one that is being written is through."""
+        """Writes a final snapshot after the current write, if any, and then calls `done`."""
         self._closed, self._done = True, done
-        if self._asking is not None:
-            self._asking.over = True
+        if self._query is not None:
+            self._query.finished = True
         if not self._writing:
             self._finish()
 
@@ -195,68 +207,74 @@
     # Peers.
 
     def meet(self, peers: Peers) -> None:
-        """Peers can be heard: answers their questions and, unless a young snapshot was found, asks them.
-        Does nothing where the operator file does not want warm starts."""
-        if not self._told.warm_from_peers:
+        """Starts to answer the questions of peers and, unless a fresh snapshot was adopted, asks them.
+
+        Does nothing where the operator file does not turn warm starts on."""
+        if not self._restart.warm_from_peers:
             return
-        node, told = self._node, self._node.config.told
+        node, settings = self._node, self._node.config.told
         now = node.deadlines.now()
-        self._peers, peers.aside = peers, self._aside
-        self._answering = warmth.Answering(told.me, now)
-        believed = self._believed
-        if believed is not None and not believed.reason and believed.age <= YOUNG:
+        self._peers, peers.aside = peers, self._handle_datagram
+        self._responder = warmth.WarmStartResponder(settings.me, now)
+        adopted = self._adopted
+        if adopted is not None and not adopted.reason and adopted.age <= FRESH_SNAPSHOT_AGE:
             return
-        tier = min(told.schedulers, len(node.config.peers))
-        self._asking = warmth.Asking(told.me, tier, node.config.seed, now)
-        self._pump()
+        schedulers = min(settings.schedulers, len(node.config.peers))
+        self._query = warmth.WarmStartQuery(settings.me, schedulers, node.config.seed, now)
+        self._advance_query()
 
-    def _pump(self) -> None:
-        asking, peers, node = self._asking, self._peers, self._node
-        if asking is None or peers is None or asking.over:
+    def _advance_query(self) -> None:
+        """Adopts the answers if they are complete or the time is up; else asks again when that is due."""
+        query, peers, node = self._query, self._peers, self._node
+        if query is None or peers is None or query.finished:
             return
         now = node.deadlines.now()
-        if asking.ready(now) or asking.late(now):
-            self._believe(asking)
-        elif now >= asking.next:
-            for number, data in asking.due(now):
+        if query.ready(now) or query.timed_out(now):
+            self._adopt_answers(query)
+        elif now >= query.next_at:
+            for number, data in query.next_round(now):
                 node.counters.add("warm_questions")
                 peers.say(number, data)
-            node.deadlines.add(asking.next, self._pump)
+            node.deadlines.add(query.next_at, self._advance_query)
 
-    def _believe(self, asking: warmth.Asking) -> None:
+    def _adopt_answers(self, query: warmth.WarmStartQuery) -> None:
         node = self._node
-        found: Adopted = node.requests.consult(
-            lambda balancer, now: warmth.believe(
-                balancer, asking.take(now), now, self._began, balancer.fleet.slots != self._slots
+        adopted: Adopted = node.requests.consult(
+            lambda balancer, now: warmth.adopt(
+                balancer,
+                query.finish(now),
+                now,
+                self._started_at,
+                balancer.fleet.slots != self._initial_slots,
             )
         )
-        if found.reason:
+        if adopted.reason:
             node.counters.add("warm_unanswered")
-            node.counters.say(f"warm start: {found.reason}")
+            node.counters.say(f"warm start: {adopted.reason}")
             return
         node.counters.add("warm_believed")
         node.counters.say(
-            f"warm start: {asking.answered} peers, {found.age / SECOND:.1f} s old, believed in "
-            f"{found.values} values, for {found.boxes} servers"
+            f"warm start: {query.answer_count} peers answered, {adopted.age / SECOND:.1f} s old, "
+            f"adopted {adopted.values} values and the state of {adopted.boxes} servers"
         )
 
-    def _aside(self, origin: int, data: bytes) -> bool:
-        """A datagram from a peer; whether it is one of these."""
-        if not warmth.shaped(data):
+    def _handle_datagram(self, origin: int, data: bytes) -> bool:
+        """Handles a datagram from a peer.  Returns False if it does not belong to the warm start."""
+        if not warmth.is_warm_start_datagram(data):
             return False
-        node, answering, peers = self._node, self._answering, self._peers
-        if answering is None or peers is None:
+        node, responder, peers = self._node, self._responder, self._peers
+        if responder is None or peers is None:
             return True
         if data[1] == warmth.QUESTION:
             answers: list[bytes] = node.requests.consult(
-                lambda balancer, now: answering.answer(balancer, now, origin, data)
+                lambda balancer, now: responder.answer(balancer, now, origin, data)
             )
             for answer in answers:
                 node.counters.add("warm_answers")
                 peers.say(origin, answer)
             return True
-        if self._asking is not None and not self._asking.over:
+        if self._query is not None and not self._query.finished:
             node.counters.add("warm_heard")
-            self._asking.hear(node.deadlines.now(), origin, data)
-            self._pump()
+            self._query.receive(node.deadlines.now(), origin, data)
+            self._advance_query()
         return True
