--- a/tests/test_memory.py
+++ b/tests/test_memory.py
@@ -1,4 +1,4 @@
-"""Learned state: how it ages, how much of it a node adopts, and that no state, however wrong, does harm."""
+"""Learned state: how it ages, how much of it a node adopts, and that no invalid state breaks a balancer."""
 
 from __future__ import annotations
 
@@ -108,8 +108,8 @@
         self.assertAlmostEqual(fresh.fleet.slot_time / fresh.fleet.slots, mean)
         self.assertEqual(fresh.fleet.most_free, self.source.fleet.most_free)
         self.assertGreater(fresh.workers[crc32(b"s-0")].errors, 0.1)
-        ill, was = fresh.workers[crc32(b"s-0")], self.source.workers[crc32(b"s-0")]
-        self.assertEqual(max(0, ill.ill_until - 20 * SECOND), max(0, was.ill_until - 11 * SECOND))
+        restored, original = fresh.workers[crc32(b"s-0")], self.source.workers[crc32(b"s-0")]
+        self.assertEqual(max(0, restored.ill_until - 20 * SECOND), max(0, original.ill_until - 11 * SECOND))
         self.assertLessEqual(fresh.buckets[0].tokens, fresh.buckets[0].burst)
 
     def test_an_ejected_box_stays_ejected_and_is_readmitted(self) -> None:
@@ -117,8 +117,8 @@
         balancer, recorder = make(workers=0, **SETTINGS)
         balancer.members(0, "disk", [entry(name) for name in NAMES])
         adopt(balancer, LearnedState(UNIX, boxes={name: box for name in NAMES}), 0, UNIX + SECOND)
-        out = [w for w in balancer.workers.values() if w.shut_until]
-        self.assertEqual((len(out), balancer.shut), (1, 1))  # 0.3 of six boxes at most
+        ejected = [w for w in balancer.workers.values() if w.shut_until]
+        self.assertEqual((len(ejected), balancer.shut), (1, 1))  # 0.3 of six boxes at most
         self.assertEqual(len(balancer.everyone.items), 5)
         run_until(balancer, recorder, 0, 2 * SECOND + MS)
         self.assertEqual((len(balancer.everyone.items), balancer.shut), (6, 0))
@@ -167,9 +167,8 @@
             result = adopt(fresh, msgspec.structs.replace(self.saved, mono=mono), now, unix)
             self.assertIn(why, result.reason)
             self.assertEqual(adoptable_values(fresh), before)
-        self.assertEqual(
-            memory.age_of(self.saved, 3, UNIX + 5), 5
-        )  # after a reboot the monotonic clock begins anew
+        # After a reboot the monotonic clock begins anew.
+        self.assertEqual(memory.age_of(self.saved, 3, UNIX + 5), 5)
 
     def test_tokens_accrue_while_the_node_is_down(self) -> None:
         for age, wanted in ((SECOND, 3.0), (20 * SECOND, 8.0)):
@@ -247,18 +246,20 @@
 
     @settings(max_examples=120, deadline=None, derandomize=True)
     @given(states, st.integers(0, 100 * SECOND))
-    def test_no_state_does_harm(self, state: LearnedState, age: int) -> None:
+    def test_any_state_keeps_values_finite_and_the_list_unchanged(
+        self, state: LearnedState, age: int
+    ) -> None:
         balancer, recorder = make(workers=0, **SETTINGS)
         balancer.members(SECOND, "disk", [entry(name, started=SECOND // 2) for name in NAMES])
 
-        def list_state() -> dict[int, tuple[Any, ...]]:
+        def listed_fields() -> dict[int, tuple[Any, ...]]:
             return {w.id: (w.state, w.started, w.cold_until) for w in balancer.workers.values()}
 
-        before = list_state()
+        before = listed_fields()
         self.assertIsInstance(adopt(balancer, state, SECOND, UNIX + age), Adopted)
         for name, value in adoptable_values(balancer).items():
             self.assertTrue(value is None or math.isfinite(value), name)
-        self.assertEqual(list_state(), before)
+        self.assertEqual(listed_fields(), before)
         self.assertFalse(recorder.named("send", "probe", "cancel", "refuse"))
         for job in range(20):
             balancer.request(2 * SECOND, f"j{job}", 0, SECOND, hint=1000)
--- a/tests/test_warmth.py
+++ b/tests/test_warmth.py
@@ -69,14 +69,13 @@
         responder = WarmStartResponder(1, 0)
         self.assertTrue(responder.answer(self.source, NOW, 0, data))
         self.assertFalse(responder.answer(self.source, NOW, 0, data))  # a duplicate
+        # The question went to another node; the node has not run for long enough.
         for other, at in ((WarmStartResponder(2, 0), NOW), (WarmStartResponder(1, NOW - SECOND), NOW)):
-            self.assertFalse(
-                other.answer(self.source, at, 0, data)
-            )  # another node was asked; not up for long enough
-        self.assertFalse(
-            WarmStartResponder(1, 0).answer(fresh_node(NOW), NOW, 0, data)
-        )  # has learned nothing
-        self.assertFalse(WarmStartResponder(0, 0).answer(self.source, NOW, 0, data))  # its own question
+            self.assertFalse(other.answer(self.source, at, 0, data))
+        # The node has learned nothing.
+        self.assertFalse(WarmStartResponder(1, 0).answer(fresh_node(NOW), NOW, 0, data))
+        # The question is the node's own.
+        self.assertFalse(WarmStartResponder(0, 0).answer(self.source, NOW, 0, data))
 
     def test_the_rate_of_answers_is_limited(self) -> None:
         responder, sent = WarmStartResponder(1, 0), 0
@@ -158,7 +157,9 @@
         st.lists(numbers, min_size=len(warmth.FLEET), max_size=len(warmth.FLEET)),
         st.integers(0, 65535),
     )
-    def test_no_datagram_does_harm(self, datagrams: list[bytes], values: list[float], age: int) -> None:
+    def test_any_datagram_leaves_all_values_in_range(
+        self, datagrams: list[bytes], values: list[float], age: int
+    ) -> None:
         fresh = fresh_node(SECOND)
         responder = WarmStartResponder(1, 0)
         query = WarmStartQuery(0, 4, 1, SECOND)
