--- a/violetsaddle/decide/warmth.py
+++ b/violetsaddle/decide/warmth.py
@@ -1,7 +1,8 @@
 """Warm starts: which peers a starting node asks, whether a node answers, and what is adopted of the answers.
 
-A datagram holds at most 256 bytes.  The decision module's own datagrams begin with 0 or 1, these begin with
-`MAGIC`; a node that does not know them ignores them.  All numbers are big-endian.
+A datagram holds at most 256 bytes.  These begin with `MAGIC` and have a length of 2 modulo 3, by which they
+differ from the decision module's own (`gossip_codec`); a node that does not know them ignores them.  All
+numbers are big-endian.
 
     question  magic, kind, nonce u16, numbers u16 of the nodes that are asked
     answer    magic, kind, nonce u16, age u16 (10 ms), then the values of the fleet (`FLEET`) and of the kinds
@@ -63,7 +64,8 @@
 def padded(data: bytes) -> bytes:
     """Returns a datagram with up to two zero bytes appended, so that its length is 2 modulo 3.
 
-    No datagram of the decision module has such a length."""
+    In a large tier the first byte of the decision module's datagrams may be `MAGIC` as well, but these have a
+    length of 1 modulo 3."""
     return data + bytes((2 - len(data)) % 3)
 
 
