--- a/tests/test_subscription.py
+++ b/tests/test_subscription.py
@@ -317,7 +317,7 @@
         """The datagrams of the decision module start with 0 or 1, in a large tier with bit 7 set.  Those
         of the warm start have a length of 2 modulo 3."""
         data = encode(5, "ff" * 16)
-        self.assertFalse(warmth.shaped(data))
+        self.assertFalse(warmth.is_warm_start_datagram(data))
         self.assertEqual(DATAGRAM.size % 3, 1)
         for nodes in (4, 40):
             settings = Settings(classes=(RequestClass(1, 2),), schedulers=nodes, may_tell=True)
