--- a/violetsaddle/decide/subscription.py
+++ b/violetsaddle/decide/subscription.py
@@ -48,9 +48,9 @@
 class Phase(enum.Enum):
     """What a subscription waits for."""
 
-    IDLE = "idle"  # no poll is in flight
-    LONG_POLL = "long poll"  # a poll is in flight, and the replica may hold it
-    SHORT_POLL = "short poll"  # a poll is in flight that the replica answers immediately
+    IDLE = "resting"  # no poll is in flight
+    LONG_POLL = "watching"  # a poll is in flight, and the replica may hold it
+    SHORT_POLL = "asking"  # a poll is in flight that the replica answers immediately
     STOPPED = "stopped"
 
 
@@ -63,7 +63,7 @@
     NO_VERSION = "an answer without a version; the number is the replica's newest"
     FAILED = "an error, a timeout or an invalid answer"
     ADVERTISED = "another node advertises its version"
-    STOP = "the node stops"
+    STOP = "the node ends"
 
 
 class Rules(NamedTuple):
