--- a/tests/test_subscription.py
+++ b/tests/test_subscription.py
@@ -261,18 +261,18 @@
 class DelayTest(unittest.TestCase):
     WATCH, GRACE = 2500 * 1000, 500 * 1000
 
-    def delay(self, rng: random.Random, wrong: set[int], behind: bool) -> int:
-        """Returns the microseconds from a commit until one node applies it while the replicas `wrong` fail.
+    def delay(self, rng: random.Random, failing: set[int], behind: bool) -> int:
+        """Returns the microseconds from a commit until one node applies it while the replicas `failing` fail.
 
         They do not answer, or with `behind` they do not get the version."""
         replicas, rules = FakeReplicas(), Rules(3, 40, self.WATCH)
         state, now = initial_state(rules, rng.randrange(40), 0, 1), 1
         commit, ends, event, number = rng.randrange(30 * SECOND), 0, EventType.FAILED, 0
-        replicas.silent = set() if behind else wrong
+        replicas.silent = set() if behind else failing
         while True:
             if state.phase is Phase.IDLE:
                 if now < commit <= state.due:
-                    replicas.numbers = [0 if behind and n in wrong else 1 for n in range(3)]
+                    replicas.numbers = [0 if behind and n in failing else 1 for n in range(3)]
                 now = max(now, state.due)
                 result = step(state, rules, EventType.WAKE, now, rng.random())
                 assert result.poll is not None
@@ -280,7 +280,7 @@
                 wait, event, number = replicas.answer(result.poll, self.WATCH, self.WATCH + self.GRACE)
                 ends = now + wait
                 if now < commit <= ends:
-                    replicas.numbers = [0 if behind and n in wrong else 1 for n in range(3)]
+                    replicas.numbers = [0 if behind and n in failing else 1 for n in range(3)]
                     if replicas.numbers[result.poll.replica] and result.poll.replica not in replicas.silent:
                         ends, event, number = commit + 1000, EventType.NEW_VERSION, 1
                 continue
