--- a/tests/test_memory.py
+++ b/tests/test_memory.py
@@ -143,10 +143,10 @@
             now = 20 * SECOND
             fresh = node(now, entry("s-0", started=now - SECOND))
             worker = fresh.workers[crc32(b"s-0")]
-            before = worker.cold.tokens
+            before = worker.cold_budget.tokens
             box = Box(UNIX - SECOND, cold=tokens)
             self.assertEqual(believe(fresh, Memory(UNIX, boxes={"s-0": box}), now, UNIX).boxes, 1)
-            self.assertEqual(worker.cold.tokens, min(before, tokens))
+            self.assertEqual(worker.cold_budget.tokens, min(before, tokens))
             self.assertGreater(worker.cold_until, now)
 
     def test_clocks(self) -> None:
--- a/tests/test_policy.py
+++ b/tests/test_policy.py
@@ -281,8 +281,9 @@
     balancer.members(100 * SECOND, "snapshot", [Entry(1, started=100 * SECOND), Entry(2)])
     cold, balancer.own_rate = balancer.workers[1], 40 / SECOND
     balancer._cold_share(100 * SECOND, cold, 10.0)
-    assert cold.cold.burst == pytest.approx(12.0)  # half of 3 x 0.2 x 20 slots a second, accrued over 2 s
+    # Half of 3 x 0.2 x 20 slots a second, accrued over 2 s.
+    assert cold.cold_budget.burst == pytest.approx(12.0)
     balancer.fleet.rate = 4 / SECOND
-    cold.cold.tokens = 1.0
+    cold.cold_budget.tokens = 1.0
     assert balancer._cold_share(100 * SECOND, cold, 10.0) == 0.0
-    assert cold.cold.burst == pytest.approx(1.2)
+    assert cold.cold_budget.burst == pytest.approx(1.2)
--- a/tests/test_tally.py
+++ b/tests/test_tally.py
@@ -55,8 +55,8 @@
     balancer.members(0, "snapshot", [Entry(1, started=SECOND // 2)])
     counters = Counters("n")
     tally = Tally(balancer, counters)
-    balancer.workers[1].cold.tokens = 0.5
+    balancer.workers[1].cold_budget.tokens = 0.5
     tally.sent(attempt())
-    balancer.workers[1].cold.tokens = -0.5
+    balancer.workers[1].cold_budget.tokens = -0.5
     tally.sent(attempt())
     assert (counters.get("sent_cold"), counters.get("sent_cold_over")) == (2, 1)
--- a/violetsaddle/decide/memory.py
+++ b/violetsaddle/decide/memory.py
@@ -197,7 +197,7 @@
     started = item.get("started_ms") or 0
     cold = worker.cold_until > now
     if cold:
-        worker.cold.fill(now)
+        worker.cold_budget.fill(now)
     return Box(
         int(started) * 1000,
         worker.speed,
@@ -207,7 +207,7 @@
         worker.trust,
         max(0, worker.ejected_until - now),
         now - worker.last_seen if worker.last_seen else -1,
-        worker.cold.tokens if cold else None,
+        worker.cold_budget.tokens if cold else None,
     )
 
 
@@ -348,7 +348,7 @@
         if sound(box.life, "life") and weight("life", age):
             worker.last_seen = max(0, now - box.life - age)
     if box.cold is not None and worker.cold_until > now and sound(box.cold, "cold"):
-        worker.cold.tokens = min(worker.cold.tokens, box.cold)
+        worker.cold_budget.tokens = min(worker.cold_budget.tokens, box.cold)
     left = box.shut - age
     if not (
         may_shut
--- a/violetsaddle/net/tally.py
+++ b/violetsaddle/net/tally.py
@@ -36,7 +36,7 @@
         if worker.cold_until > attempt.sent:
             attempt.doubt = "cold"
             self._counters.add("sent_cold")
-            if worker.cold.tokens < 0.0:
+            if worker.cold_budget.tokens < 0.0:
                 self._counters.add("sent_cold_over")
         elif not worker.tracked:
             attempt.doubt = "blind"
--- a/violetsaddle/policy.py
+++ b/violetsaddle/policy.py
@@ -464,8 +464,8 @@
         if worker.cold_until > now:
             # One scheduler's share of its budget is less than a job.  It is filled at random, or all
             # schedulers would send their first job at the same time.
-            worker.cold = Bucket(now, self.largest_job, self.largest_job * self.random())
-            worker.cold.rate = 0.0
+            worker.cold_budget = Bucket(now, self.largest_job, self.largest_job * self.random())
+            worker.cold_budget.rate = 0.0
 
     def _delist(self, worker: Worker) -> None:
         self._clear_ejection(worker)
@@ -555,7 +555,7 @@
 
         The budget is based on what this scheduler sends a warm worker on average.  The result is the negative
         share if the budget can go into debt for `cost` without overloading the worker, and 0 if it can't."""
-        bucket, settings = worker.cold, self.settings
+        bucket, settings = worker.cold_budget, self.settings
         warmth = 1.0 - (worker.cold_until - now) / settings.cold_for
         least = settings.cold_from + (1.0 - settings.cold_from) * min(1.0, max(0.0, warmth))
         share = max(least, min(1.0, worker.speed / self.speeds.get(worker.kind, 1e9)))  # as its runs show
@@ -755,7 +755,7 @@
             if not request.in_flight:
                 self._hold(now, request, HOLD_WAIT)
             return False
-        worker.cold.tokens -= request.cost
+        worker.cold_budget.tokens -= request.cost
         by, attempt = send_deadline(request), Attempt(len(request.attempts), worker, now)
         request.attempts.append(attempt)
         request.in_flight += 1
@@ -943,7 +943,8 @@
                 self._queue_gossip(now, worker)
         elif outcome == api.FULL:
             worker.full_until = now + FULL_PAUSE
-            worker.cold.tokens = min(0.0, worker.cold.tokens)  # refusing a job costs a cold worker as much
+            # A refused job costs a cold worker as much as one that it runs.
+            worker.cold_budget.tokens = min(0.0, worker.cold_budget.tokens)
             self._record_alive(now, worker)
             self._record_start(now, True, worker)
         elif outcome == api.CONNECT_FAILED or outcome == api.RESET:
--- a/violetsaddle/state.py
+++ b/violetsaddle/state.py
@@ -84,7 +84,7 @@
         "trust",
         "full_until",
         "cold_until",
-        "cold",
+        "cold_budget",
         "last_seen",
         "pools",
         "speed",
@@ -115,7 +115,7 @@
         # Failures in a row, end of the ejection, factor on the weight, end of the pause after a 'full'.
         self.strikes, self.ejected_until, self.trust, self.full_until = 0, 0, 1.0, 0
         self.cold_until, self.last_seen = 0, 0  # end of its warm-up; its last sign of life
-        self.cold = Bucket(0, 0.0, 0.0)  # what this scheduler may send it during its warm-up
+        self.cold_budget = Bucket(0, 0.0, 0.0)  # what this scheduler may send it during its warm-up
         self.pools: tuple[Pool, ...] = ()
 
 
