--- a/tests/test_memory.py
+++ b/tests/test_memory.py
@@ -155,10 +155,10 @@
             now = 20 * SECOND
             fresh = fresh_node(now, entry("s-0", started=now - SECOND))
             worker = fresh.workers[crc32(b"s-0")]
-            before = worker.cold.tokens
+            before = worker.cold_budget.tokens
             box = BoxState(UNIX - SECOND, cold_tokens=tokens)
             self.assertEqual(adopt(fresh, LearnedState(UNIX, boxes={"s-0": box}), now, UNIX).boxes, 1)
-            self.assertEqual(worker.cold.tokens, min(before, tokens))
+            self.assertEqual(worker.cold_budget.tokens, min(before, tokens))
             self.assertGreater(worker.cold_until, now)
 
     def test_age_by_both_clocks(self) -> None:
--- a/violetsaddle/decide/memory.py
+++ b/violetsaddle/decide/memory.py
@@ -208,7 +208,7 @@
     started = item.get("started_ms") or 0
     cold = worker.cold_until > now
     if cold:
-        worker.cold.fill(now)
+        worker.cold_budget.fill(now)
     return BoxState(
         int(started) * 1000,
         worker.speed,
@@ -218,7 +218,7 @@
         worker.trust,
         max(0, worker.ejected_until - now),
         now - worker.last_seen if worker.last_seen else -1,
-        worker.cold.tokens if cold else None,
+        worker.cold_budget.tokens if cold else None,
     )
 
 
@@ -370,7 +370,7 @@
         if is_valid(box.alive_ago, "alive_ago") and weight("alive_ago", age):
             worker.last_seen = max(0, now - box.alive_ago - age)
     if box.cold_tokens is not None and worker.cold_until > now and is_valid(box.cold_tokens, "cold_tokens"):
-        worker.cold.tokens = min(worker.cold.tokens, box.cold_tokens)
+        worker.cold_budget.tokens = min(worker.cold_budget.tokens, box.cold_tokens)
     left = box.ejected_left - age
     if not (
         may_eject
