--- a/tests/test_reconfigure.py
+++ b/tests/test_reconfigure.py
@@ -300,7 +300,7 @@
         return net
 
     def change(self, net: Net, **changes: Any) -> None:
-        net.requests.reconfigure(replace(net.requests._told, **changes))
+        net.requests.reconfigure(replace(net.requests._settings, **changes))
 
     def started(self, net: Net, job: str, cls: int = 0) -> tuple[Client, Wire]:
         client = net.ask(job, cls, DEADLINE)
@@ -378,7 +378,7 @@
         for before, after in ((4, 1), (1, 4)):
             with self.subTest(before=before, after=after):
                 net = self.net(most_attempts=before)
-                net.requests.consult(lambda balancer, _: setattr(balancer, "retry_budget", 20.0))
+                net.requests.with_balancer(lambda balancer, _: setattr(balancer, "retry_budget", 20.0))
                 old = net.ask("old", 0, DEADLINE)
                 self.change(net, most_attempts=after)
                 new = net.ask("new", 0, DEADLINE)
@@ -420,11 +420,11 @@
 
     def test_what_is_fixed_is_refused_before_anything_has_changed(self) -> None:
         net = self.net()
-        before = net.requests._told
+        before = net.requests._settings
         with self.assertRaises(SettingsError):
             self.change(net, most_attempts=1, connect_timeout=9)
-        self.assertIs(net.requests._told, before)
-        net.requests.consult(lambda balancer, _: self.assertIs(balancer.settings, before))
+        self.assertIs(net.requests._settings, before)
+        net.requests.with_balancer(lambda balancer, _: self.assertIs(balancer.settings, before))
 
     def test_a_change_from_within_an_event_comes_after_those_before_it(self) -> None:
         net = self.net(most_attempts=4)
@@ -438,9 +438,9 @@
             return False
 
         client = Client()
-        client.left = leaves  # type: ignore[method-assign]
+        client.is_gone = leaves  # type: ignore[method-assign]
         net.requests.arrive("a", "0", None, DEADLINE, True, 1.0, None, 0, Job("a"), client)
-        tries = net.requests.consult(
+        tries = net.requests.with_balancer(
             lambda balancer, _: {job: r.settings.most_attempts for job, r in balancer.requests.items()}
         )
         self.assertEqual(tries, {"a": 4, "b": 1})
@@ -467,7 +467,7 @@
     for at, (what, which) in enumerate(events):
         for place, change in changes:
             if place == at:
-                net.requests.reconfigure(replace(net.requests._told, **change))
+                net.requests.reconfigure(replace(net.requests._settings, **change))
         apply_event(net, what, which, asked)
         for job, (client, _) in asked.items():
             if client.answers == ["turned down"]:
--- a/tests/test_snapshots.py
+++ b/tests/test_snapshots.py
@@ -221,12 +221,12 @@
         self.later(1.5)
         done: list[bool] = []
         keeper.close(lambda: done.append(True))
-        self.node.requests.remember(["late"])
+        self.node.requests.remember_ids(["late"])
         self.disk.finish()
         self.assertFalse(done)  # that one was made before the last request was over
         self.disk.finish()
         self.assertEqual((done, self.disk.out), ([True], []))
-        self.assertEqual(self.make().requests.ids(), ["late"])
+        self.assertEqual(self.make().requests.known_ids(), ["late"])
 
     def test_a_file_that_was_handed_over_is_left_alone(self) -> None:
         keeper: Any = self.node.keeper
--- a/tests/test_tally.py
+++ b/tests/test_tally.py
@@ -8,7 +8,7 @@
 from violetsaddle import Entry
 from violetsaddle.net.counters import Counters
 from violetsaddle.net.requests import Attempt
-from violetsaddle.net.tally import Tally
+from violetsaddle.net.tally import LateStartCounter
 
 AIM = CLASSES[0].aim
 
@@ -27,10 +27,10 @@
     balancer.busy_share, balancer.fleet.most_free[0] = (0.9 if cause == "crowded" else 0.1), 1.0
     balancer.workers[1].tracked = cause != "blind"
     counters = Counters("n")
-    tally, one = Tally(balancer, counters), attempt()
-    tally.sent(one)
-    tally.over(one, AIM, SECOND + AIM)
-    tally.over(one, AIM, SECOND + 2 * AIM)
+    late_starts, one = LateStartCounter(balancer, counters), attempt()
+    late_starts.sent(one)
+    late_starts.finished(one, AIM, SECOND + AIM)
+    late_starts.finished(one, AIM, SECOND + 2 * AIM)
     assert counters.get("late_" + cause) == 1
     assert sum(counters.get("late_" + c) for c in ("stale", "crowded", "blind", "cold", "abroad")) == 1
     assert counters.get("sent_cold") == (cause == "cold")
@@ -39,14 +39,14 @@
 def test_a_start_in_time_is_not_counted_nor_its_late_end_but_one_that_left_the_list_is() -> None:
     balancer, _ = make()
     counters = Counters("n")
-    tally, one = Tally(balancer, counters), attempt()
-    tally.sent(one)
-    tally.over(one, AIM, SECOND + 10 * MS)
-    tally.over(one, AIM, 5 * SECOND)
+    late_starts, one = LateStartCounter(balancer, counters), attempt()
+    late_starts.sent(one)
+    late_starts.finished(one, AIM, SECOND + 10 * MS)
+    late_starts.finished(one, AIM, 5 * SECOND)
     assert counters.get("late_stale") == 0
     left = attempt(server=99)
-    tally.sent(left)
-    tally.over(left, AIM, 3 * SECOND)
+    late_starts.sent(left)
+    late_starts.finished(left, AIM, 3 * SECOND)
     assert counters.get("late_stale") == 1, "it has left the list meanwhile"
 
 
@@ -54,9 +54,9 @@
     balancer, _ = make(cold_from=0.2, cold_for=9 * SECOND)
     balancer.members(0, "snapshot", [Entry(1, started=SECOND // 2)])
     counters = Counters("n")
-    tally = Tally(balancer, counters)
+    late_starts = LateStartCounter(balancer, counters)
     balancer.workers[1].cold.tokens = 0.5
-    tally.sent(attempt())
+    late_starts.sent(attempt())
     balancer.workers[1].cold.tokens = -0.5
-    tally.sent(attempt())
+    late_starts.sent(attempt())
     assert (counters.get("sent_cold"), counters.get("sent_cold_over")) == (2, 1)
--- a/tests/test_told.py
+++ b/tests/test_told.py
@@ -37,7 +37,7 @@
         self.discovery = Discovery(
             net, net.limits, net.deadlines, net.counters, net.requests, net.servers, AT, ("z",), ("k",), net
         )
-        net.requests.watcher = self.discovery
+        net.requests.discovery = self.discovery
         self.seen = 0  # wires
         if not asks:
             self.discovery.watch()
--- a/tests/wired.py
+++ b/tests/wired.py
@@ -131,13 +131,13 @@
         self.answers: list[str] = []
         self.gone = False
 
-    def left(self) -> bool:
+    def is_gone(self) -> bool:
         return self.gone
 
     def served(self, result: bytes) -> None:
         self.answers.append("served")
 
-    def turned_down(self, come_back: int, before_sending: bool) -> None:
+    def refused(self, retry_after: int, before_sending: bool) -> None:
         self.answers.append("turned down")
 
     def failed(self, why: Failure) -> None:
@@ -166,7 +166,7 @@
         self.servers = Servers(
             self, limits, deadlines, self.counters, self.requests, told, {}, lambda: FOREVER
         )
-        self.requests.carrier = self.servers
+        self.requests.attempt_sender = self.servers
         self.shared = Shared(self.requests, limits, deadlines, self.counters, self.servers.report)
 
     @property
--- a/violetsaddle/net/audit.py
+++ b/violetsaddle/net/audit.py
@@ -22,10 +22,10 @@
 
     job: str
     number: int
-    name: str
+    server_name: str
     sent: int
-    life: AttemptState
-    last_life: AttemptState
+    state: AttemptState
+    last_state: AttemptState
     outcome: str
     release: Release
 
@@ -59,8 +59,8 @@
                 "attempt given up",
                 request=attempt.job,
                 attempt=attempt.number,
-                server=attempt.name,
-                life=attempt.life,
+                server=attempt.server_name,
+                life=attempt.state,
                 release=attempt.release,
                 tries=tries,
                 detail=detail,
@@ -90,7 +90,7 @@
             "attempt's connection ended",
             request=attempt.job,
             attempt=attempt.number,
-            server=attempt.name,
+            server=attempt.server_name,
             written=written,
             why=why,
             after_ms=self._since(attempt),
@@ -111,7 +111,7 @@
     def _summary(self, attempts: Sequence[Recorded]) -> str:
         """`number:server:life>outcome:release:ms since it was sent`, divided by commas."""
         return ",".join(
-            f"{a.number}:{a.name or '-'}:{a.last_life}>{a.outcome}:{a.release}:{self._since(a)}"
+            f"{a.number}:{a.server_name or '-'}:{a.last_state}>{a.outcome}:{a.release}:{self._since(a)}"
             for a in attempts
         )
 
--- a/violetsaddle/net/callbacks.py
+++ b/violetsaddle/net/callbacks.py
@@ -35,7 +35,7 @@
 
 def take_call(shared: Shared, call: dict[str, Any]) -> None:
     """What a real server tells of an attempt; its reply is out already."""
-    attempt, state = shared.requests.find(call["id"], call["from"]), call["state"]
+    attempt, state = shared.requests.find_attempt(call["id"], call["from"]), call["state"]
     result, word = call.get("result"), STATES.get(call["state"])
     share = call.get("share") if state == "running" else 0.0
     if word is None or not isinstance(share, (int, float)) or not 0 <= share <= 1:
@@ -43,7 +43,7 @@
         return
     if word is Evidence.DONE and not isinstance(result, str):
         word = Evidence.FAILED  # it ran, but there is nothing of its own to pass on
-    if attempt is None or not shared.requests.word(
+    if attempt is None or not shared.requests.apply_evidence(
         attempt,
         word,
         shared.report(call.get("load")),
@@ -51,4 +51,6 @@
     ):
         shared.counters.add("callbacks_unmatched")
     elif word is Evidence.STARTED:
-        shared.requests.noted(attempt, api.PROGRESS if state == "running" else api.STARTED, float(share))
+        shared.requests.report_progress(
+            attempt, api.PROGRESS if state == "running" else api.STARTED, float(share)
+        )
--- a/violetsaddle/net/discovery.py
+++ b/violetsaddle/net/discovery.py
@@ -37,7 +37,7 @@
 
 
 class Discovery:
-    """Implements `requests.Watcher`."""
+    """Implements `requests.DiscoveryPoller`."""
 
     def __init__(
         self,
--- a/violetsaddle/net/edge.py
+++ b/violetsaddle/net/edge.py
@@ -18,7 +18,7 @@
 from violetsaddle.net.deadlines import Deadlines, Patience, Transport
 from violetsaddle.net.job_headers import ID, estimate, labelled, remaining, subject
 from violetsaddle.net.limits import SECOND, Limits
-from violetsaddle.net.requests import Failure, Requests, UnfitError
+from violetsaddle.net.requests import Failure, InvalidRequestError, Requests
 from violetsaddle.net.slots import SlotTable
 from violetsaddle.net.transports import end_writing, peek, unread_for, unsent
 
@@ -115,8 +115,8 @@
             self._unread_since = None
         return min(behind, unread_for(self.transport)) if behind > self._shared.limits.unseen else 0
 
-    def left(self) -> bool:
-        """As `requests.Client.left`."""
+    def is_gone(self) -> bool:
+        """As `requests.Client.is_gone`."""
         # Asked of the kernel only where its end may lie there for long: a request that came first on its
         # connection may have waited for us to accept it.
         return (self._early or self._shared.behind() > self._shared.limits.unseen) and peek(
@@ -383,14 +383,14 @@
         try:
             job, cls = message.header("x-txn") or "", message.header("x-lane")
             if not ID.fullmatch(job) or len(job) > limits.identity:
-                raise UnfitError("X-Txn is missing or no id")
+                raise InvalidRequestError("X-Txn is missing or no id")
             time = remaining(message.header("x-remaining"))
             if waited > limits.unseen and time > 0:
                 time = max(1, time - waited)
                 self._shared.counters.add("requests_waited")  # unread, or behind others of their connection
             slots = labelled(message.header("x-labels"), "slots", 1.0)
             if cls is None:
-                raise UnfitError("X-Lane is missing")
+                raise InvalidRequestError("X-Lane is missing")
             self._awaited = True
             self._rest()
             number = self._shared.requests.arrive(
@@ -406,7 +406,7 @@
                 self,
             )
             self._request = number
-        except UnfitError as error:
+        except InvalidRequestError as error:
             self._awaited = False
             self._answer(400, str(error).encode())
 
@@ -435,9 +435,9 @@
         """As `requests.Client.served`: 200 with the result."""
         self._final(200, result)
 
-    def turned_down(self, come_back: int, before_sending: bool) -> None:
-        """As `requests.Client.turned_down`: 429 before anything was sent, else 503."""
-        headers = f"Retry-After: {come_back / SECOND:.6f}\r\n" if come_back > 0 else ""
+    def refused(self, retry_after: int, before_sending: bool) -> None:
+        """As `requests.Client.refused`: 429 before anything was sent, else 503."""
+        headers = f"Retry-After: {retry_after / SECOND:.6f}\r\n" if retry_after > 0 else ""
         self._final(429 if before_sending else 503, headers=headers)
 
     def failed(self, why: Failure) -> None:
--- a/violetsaddle/net/job_headers.py
+++ b/violetsaddle/net/job_headers.py
@@ -6,7 +6,7 @@
 from urllib.parse import parse_qsl
 
 from violetsaddle.net.limits import MS
-from violetsaddle.net.requests import UnfitError
+from violetsaddle.net.requests import InvalidRequestError
 
 try:
     from _blake2 import blake2b  # as hashlib would give it, which loads OpenSSL first
@@ -18,10 +18,10 @@
 
 
 def remaining(text: str | None) -> int:
-    """Microseconds of `480m` or `9000u`; raises `UnfitError`."""
+    """Microseconds of `480m` or `9000u`; raises `InvalidRequestError`."""
     number, unit = (text or "")[:-1], (text or "")[-1:]
     if unit not in UNITS or not number.isascii() or not number.isdigit() or len(number) > 12:
-        raise UnfitError("X-Remaining is missing or no time")
+        raise InvalidRequestError("X-Remaining is missing or no time")
     return int(number) * UNITS[unit]
 
 
@@ -32,17 +32,17 @@
 
 
 def labelled(text: str | None, name: str, default: float) -> float:
-    """The number of `name=number` in a list of labels, else `default`; raises `UnfitError` for one that is no
-    number, or is outside 0 to 1024."""
+    """The number of `name=number` in a list of labels, else `default`; raises `InvalidRequestError` for
+    one that is no number, or is outside 0 to 1024."""
     for pair in (text or "").split(","):
         key, _, value = pair.partition("=")
         if key.strip() == name:
             try:
                 number = float(value)
             except ValueError:
-                raise UnfitError(f"the label {name} is no number") from None
+                raise InvalidRequestError(f"the label {name} is no number") from None
             if not 0 < number <= 1024:
-                raise UnfitError(f"the label {name} is out of range")
+                raise InvalidRequestError(f"the label {name} is out of range")
             return number
     return default
 
--- a/violetsaddle/net/node.py
+++ b/violetsaddle/net/node.py
@@ -160,11 +160,11 @@
             config.kinds,
             clock,
         )
-        self.requests.carrier, self.requests.watcher = self.servers, self.discovery
+        self.requests.attempt_sender, self.requests.discovery = self.servers, self.discovery
         if self.limits.silence:
             from violetsaddle.decide.recovery import Recovery
 
-            self.requests.doubter = Recovery(self.deadlines.now(), self.limits.silence)
+            self.requests.recovery = Recovery(self.deadlines.now(), self.limits.silence)
         self.edge = EdgeFactory(
             Shared(
                 self.requests,
@@ -262,7 +262,7 @@
                 peers.listen(self.config.peer_listen)
             else:
                 peers.adopt(datagrams.fileno(), datagrams.family)
-            self.requests.teller = peers
+            self.requests.peer_sender = peers
 
     def _listens(self, port: Any) -> None:
         self._port = port
@@ -284,7 +284,7 @@
             self._port.stopReading()
         if self._peers is not None:
             self._peers.pause()
-        self.requests.teller = None
+        self.requests.peer_sender = None
 
     def resume(self) -> None:
         """Accepts, reads datagrams and tells peers again after `pause`."""
@@ -293,7 +293,7 @@
         self._hold(self.edge.held)
         if self._peers is not None:
             self._peers.resume()
-        self.requests.teller = self._peers
+        self.requests.peer_sender = self._peers
 
     def drain(self, idle_for: int, empty: Callable[[], None]) -> None:
         """Ends what clients have here: each connection with its next answer, and one that is not used within
@@ -356,7 +356,7 @@
         if not self._stopping:
             self._stopping = True
             self.counters.say("stopping")
-            self.requests.last_word = self.deadlines.now() + self.limits.last_word
+            self.requests.shutdown_deadline = self.deadlines.now() + self.limits.last_word
             self.deadlines.after(self.limits.linger, self._hurry)
             self.deadlines.after(self.limits.keep_asking, self.edge.announce)
             self.deadlines.after(self.limits.keep_idle, self._close)
@@ -365,7 +365,7 @@
         """No new connections come any more, but clients use the ones they have: where the other nodes of the
         zone are down too, these are their only way.  New requests must end before SIGKILL may come."""
         self.counters.say("new flows end by the last word")
-        self.requests.ending = True
+        self.requests.shutting_down = True
 
     def _close(self) -> None:
         """What is owed is still finished; real servers call back at the node's address, so it stays open
@@ -377,7 +377,7 @@
     def _closed(self) -> None:
         self._closing = True
         self.requests.when_idle = self.edge.when_gone = self.settle
-        self.deadlines.add(max(self.deadlines.now(), self.requests.last_word), self.settle)
+        self.deadlines.add(max(self.deadlines.now(), self.requests.shutdown_deadline), self.settle)
         self.settle()
 
     def settle(self) -> None:
@@ -388,7 +388,7 @@
             self._closing
             and not len(self.requests)
             and not self.guest()
-            and (not self.edge.owes or self.deadlines.now() >= self.requests.last_word)
+            and (not self.edge.owes or self.deadlines.now() >= self.requests.shutdown_deadline)
         ):
             self.finish()
 
--- a/violetsaddle/net/peers.py
+++ b/violetsaddle/net/peers.py
@@ -14,7 +14,7 @@
 
 
 class Peers(DatagramProtocol):
-    """Implements `requests.Teller`; what comes late or never is the module's to bear."""
+    """Implements `requests.PeerSender`; what comes late or never is the module's to bear."""
 
     noisy = False
     transport: Transport
--- a/violetsaddle/net/release.py
+++ b/violetsaddle/net/release.py
@@ -88,7 +88,7 @@
             server, lambda: [http.request("DELETE", f"/jobs/{job}", server.address)], fresh
         )
         # A kept connection may have fallen silent.
-        soon = releasing.broken or (not fresh and self._requests.waits(releasing.attempt))
+        soon = releasing.broken or (not fresh and self._requests.is_awaited(releasing.attempt))
         wait = self._limits.delete_first if soon else self._limits.give_up
         late = self._deadlines.after(wait, deleting.cancel)
 
@@ -103,7 +103,11 @@
 
         A server that has not answered may not have accepted the job's own connection.  One that is made after
         it is accepted after it."""
-        return attempt.dialled and attempt.life is AttemptState.SENT and self._requests.waits(attempt)
+        return (
+            attempt.on_new_connection
+            and attempt.state is AttemptState.SENT
+            and self._requests.is_awaited(attempt)
+        )
 
     def _over(self, releasing: _Releasing[S], result: Any) -> None:
         """A DELETE has its answer, or a `Reason` why there is none."""
@@ -120,7 +124,7 @@
     def _goes_on(self, releasing: _Releasing[S], result: Any) -> bool:
         """Whether another DELETE follows one that was not confirmed."""
         # Guards against a second copy: a server that took the job still has it, though it can't be reached.
-        if self._requests.waits(releasing.attempt):
+        if self._requests.is_awaited(releasing.attempt):
             return True
         silent = isinstance(result, Reason) and isinstance(result.value, CancelledError)
         return releasing.tries < self._limits.delete_tries and not silent
@@ -128,5 +132,5 @@
     def _finish(self, releasing: _Releasing[S], release: Release, detail: str) -> None:
         attempt = releasing.attempt
         attempt.release = release
-        self._requests.audit.released(attempt, self._requests.waits(attempt), releasing.tries, detail)
+        self._requests.audit.released(attempt, self._requests.is_awaited(attempt), releasing.tries, detail)
         releasing.done.callback(None)
--- a/violetsaddle/net/requests.py
+++ b/violetsaddle/net/requests.py
@@ -1,7 +1,8 @@
-"""Requests: each from its arrival to its one final answer.
+"""The life of each request, from its arrival to its one final answer.
 
-Implements the module's `Actions` and is the only caller of its `Balancer`.  Knows no protocol: whoever takes
-requests in hands over an `Order` and a `Client`; all go through the same decisions under the same rules."""
+`Requests` implements the decision module's `Actions` and is the only caller of its `Balancer`.  It is
+independent of the protocol: the code that accepts a request passes an `Order` and a `Client`, and the same
+decisions and rules apply to all requests."""
 
 from __future__ import annotations
 
@@ -19,45 +20,58 @@
 from violetsaddle.net.deadlines import Deadline, Deadlines
 from violetsaddle.net.limits import Limits
 from violetsaddle.net.slots import SlotTable
-from violetsaddle.net.tally import Tally
+from violetsaddle.net.tally import LateStartCounter
 from violetsaddle.policy import Balancer
 
 T = TypeVar("T")
 
 
-class UnfitError(Exception):
-    """A request that cannot be taken in; the text says why."""
+class InvalidRequestError(Exception):
+    """A request that cannot be accepted; the text gives the reason."""
 
 
 class Failure(enum.Enum):
-    """Why a request failed, as far as its client may want to tell."""
+    """Why a request failed, as far as its client distinguishes."""
 
-    BROKEN = "broken"  # a real server's error, or no word that it ran
-    LATE = "late"  # time ran out
+    BROKEN = "broken"  # a real server reported an error, or nothing proves that the job ran
+    LATE = "late"  # the time limit passed
 
 
 class Order(Protocol):
-    """What a request asks of a real server."""
+    """The job that a request sends to a real server."""
 
     def message(self, host: str, wait: int) -> Sequence[bytes]:
-        """The bytes to send; the node waits for the outcome for so many microseconds."""
+        """The bytes to send, in pieces.
+
+        `host`: the real server's host and port, for the `Host` header; `wait`: how long the node waits for
+        the outcome, microseconds.
+        """
 
 
 class Client(Protocol):
-    """Who waits for the request's final answer: one of the first three methods is called, once."""
+    """Waits for the final answer of a request.
+
+    Exactly one of `served`, `refused` and `failed` is called, once, unless the client has gone.
+    """
 
     def served(self, result: bytes) -> None:
-        """The result, as the real server gave it."""
+        """The request succeeded; `result`: as the real server sent it."""
+
+    def refused(self, retry_after: int, before_sending: bool) -> None:
+        """The request is refused.
 
-    def turned_down(self, come_back: int, before_sending: bool) -> None:
-        """A refusal.  `come_back`: microseconds until a repeat may do better, 0 where nothing is advised;
-        `before_sending`: no attempt was made."""
+        `retry_after`: microseconds after which the client may try again, 0: no advice; `before_sending`: no
+        attempt was made.
+        """
 
     def failed(self, why: Failure) -> None:
-        """No result: `why` says whether time ran out."""
+        """The request ended without a result; `why`: the reason."""
 
-    def left(self) -> bool:
-        """Whether it has gone, also if nobody was told yet: asked just before an attempt leaves."""
+    def is_gone(self) -> bool:
+        """Whether the client has closed its connection, even if that was not reported yet.
+
+        Called just before an attempt is sent.
+        """
         ...
 
 
@@ -70,17 +84,17 @@
         "number",
         "server",
         "sent",
-        "life",
-        "late",
-        "unsent",
-        "ticket",
-        "name",
+        "state",
+        "timeout",
+        "send_deadline",
+        "exchange",
+        "server_name",
         "effect",
         "may_cancel",
-        "real",
-        "dialled",
-        "doubt",
-        "last_life",
+        "server_handle",
+        "on_new_connection",
+        "late_cause",
+        "last_state",
         "outcome",
         "release",
     )
@@ -88,79 +102,93 @@
     def __init__(
         self, request: int, job: str, number: int, server: int, sent: int, effect: str, may_cancel: bool
     ) -> None:
-        """`request`: the request's number; `job`: its id; `number`: which attempt of it, from 0; `server`:
-        the real server's number; `sent`: when, microseconds.  `effect` and `may_cancel` (whether a DELETE may
-        give it up): of its request."""
+        """`request`: the request's number; `job`: the request's id; `number`: counts the request's attempts
+        from 0; `server`: the real server's number; `sent`: when it was sent, microseconds; `effect`: the
+        class's effect; `may_cancel`: whether a DELETE may give the attempt up.
+        """
         self.effect, self.may_cancel = effect, may_cancel
         self.request, self.job, self.number, self.server, self.sent = request, job, number, server, sent
-        self.life = AttemptState.UNSENT
-        self.late: Deadline | None = None
-        self.unsent: Deadline | None = None  # its last byte must have left by then
-        self.ticket: Deferred[Any] | None = None  # what carries it, while it does
-        self.name = ""  # the real server's, as in its callbacks
-        self.real: object = None  # what its carrier knows it by: the list may have dropped it meanwhile
-        self.dialled = False  # a connection was made for it
-        self.last_life, self.outcome = AttemptState.UNSENT, ""  # the state before its end, and its outcome
+        self.state = AttemptState.UNSENT
+        self.timeout: Deadline | None = None  # the attempt is given up then
+        self.send_deadline: Deadline | None = None  # the last byte must have left by then
+        self.exchange: Deferred[Any] | None = None  # the HTTP exchange, while it is open
+        self.server_name = ""  # the real server's name, as in its callbacks
+        # The sender's own object for the real server, which may have left the list since.
+        self.server_handle: object = None
+        self.on_new_connection = False  # a connection was opened for this attempt
+        self.last_state, self.outcome = AttemptState.UNSENT, ""  # the state before `ENDED`, and the outcome
         self.release = Release.NONE
-        self.doubt = ""  # why it would start late, as far as could be seen (`Tally`)
+        self.late_cause = ""  # the cause to count if it starts late, see `LateStartCounter`
 
     @property
     def ended(self) -> bool:
-        """Its one outcome is known."""
-        return self.life is AttemptState.ENDED
+        """Whether the outcome is final."""
+        return self.state is AttemptState.ENDED
+
 
+class AttemptSender(Protocol):
+    """Sends attempts and probes to real servers."""
 
-class Carrier(Protocol):
-    """What brings attempts to real servers."""
+    def send_attempt(self, attempt: Attempt, order: Order, until: int) -> None:
+        """Sends an attempt.
 
-    def carry(self, attempt: Attempt, order: Order, until: int) -> None:
-        """Sends an attempt's message; what is heard of it comes back through `Requests.word` and
-        `Requests.noted`.  `until`: when it is given up, microseconds."""
+        What becomes of it is reported to `Requests.apply_evidence` and `Requests.report_progress`.  `until`:
+        when the attempt is given up, microseconds.
+        """
 
     def give_up(self, attempt: Attempt, broken: bool = False) -> Deferred[None]:
-        """Fires once the real server has confirmed that the job is not wanted, or that matters no more.
-        `broken`: the attempt's connection was reset before an answer."""
+        """Gives an attempt up.
+
+        The Deferred fires once the real server has confirmed the DELETE, or once the confirmation no longer
+        matters.  `broken`: the attempt's connection was reset before an answer.
+        """
 
     def probe(self, server: int) -> None:
-        """Asks a real server whether it is up; the answer comes back through `Requests.probed`, once."""
+        """Probes a real server; `Requests.probed` is called once with the result."""
 
 
-class Teller(Protocol):
-    """What brings words to the other nodes of the tier."""
+class PeerSender(Protocol):
+    """Sends datagrams to the other nodes of the tier."""
 
     def tell(self, data: bytes, to: int | None = None) -> None:
-        """To one peer by its number, or to all; may be lost without a word."""
+        """Sends a datagram to the peer with the number `to`, or to all peers; it may be lost unnoticed."""
+
 
+class RecoveryMonitor(Protocol):
+    """Corrects the start times of real servers in the list; implemented by `decide.recovery.Recovery`.
 
-class Doubter(Protocol):
-    """What may know better than the list since when real servers run: `decide.recovery`.  Entries that it
-    gives go to the module in place of the list's."""
+    The entries that it returns go to the decision module and replace those of the list.
+    """
 
     def listed(self, now: int, kind: str, entries: Sequence[api.Entry]) -> Sequence[api.Entry]:
-        """Discovery has told a list or a change of one."""
+        """Discovery has sent a list or changes to one."""
 
     def refused(self, now: int, worker: int) -> None:
-        """No connection came up to a real server."""
+        """A connection to a real server failed."""
 
     def alive(self, now: int, worker: int) -> Sequence[api.Entry]:
-        """A real server has answered or called back."""
+        """A real server has answered or sent a callback."""
 
 
-class Watcher(Protocol):
-    """What asks discovery."""
+class DiscoveryPoller(Protocol):
+    """Polls discovery."""
 
     def watch(self) -> None:
-        """Asks once for the list or its changes, unless a call is under way; the answer comes back through
-        `Requests.listed`."""
+        """Requests the list or its changes once, unless a call is in progress.
+
+        The answer is passed to `Requests.listed`.
+        """
 
 
-# Settings, seed, time and actions to something with the events of `Balancer`.
+# Makes an object with the event methods of `Balancer` from settings, seed, time (microseconds) and actions.
 Decider: TypeAlias = Callable[[api.Settings, int, int, api.Actions], Any]
 
 
 class Request:
-    """A request, with what the settings under which it was taken say of it: it goes by these for its whole
-    life."""
+    """A request, with the settings that were in force when it was accepted.
+
+    These settings apply until the request ends, even if the node is reconfigured.
+    """
 
     __slots__ = (
         "number",
@@ -169,8 +197,8 @@
         "client",
         "deadline",
         "attempts",
-        "guard",
-        "late",
+        "final_deadline",
+        "timed_out",
         "effect",
         "aim",
         "most_attempts",
@@ -178,25 +206,26 @@
     )
 
     def __init__(
-        self, job: str, order: Order, client: Client, deadline: int, told: api.Settings, cls: int
+        self, job: str, order: Order, client: Client, deadline: int, settings: api.Settings, cls: int
     ) -> None:
-        """`job`: its id; `deadline`: the module's, on the node's clock, microseconds; `cls`: its class's
-        number."""
-        self.effect, self.aim = told.classes[cls].effect, told.classes[cls].aim
-        self.most_attempts, self.may_cancel = told.most_attempts, told.may_cancel
+        """`job`: the request's id; `deadline`: the decision module's deadline on the node's clock,
+        microseconds; `cls`: the number of its class.
+        """
+        self.effect, self.aim = settings.classes[cls].effect, settings.classes[cls].aim
+        self.most_attempts, self.may_cancel = settings.most_attempts, settings.may_cancel
         self.number, self.job, self.order, self.deadline = -1, job, order, deadline
-        self.client: Client | None = client  # None: the final answer is given
+        self.client: Client | None = client  # None: it has its final answer, or has gone
         self.attempts: list[Attempt] = []
-        self.guard: Deadline | None = None
-        self.late = False  # time ran out on the last attempt
+        self.final_deadline: Deadline | None = None
+        self.timed_out = False  # the last attempt that ended has timed out
 
 
 class Requests:
-    """All open requests; implements `interface.Actions` for the one decision module of the node."""
+    """All open requests of a node; implements `interface.Actions` for its decision module."""
 
     def __init__(
         self,
-        told: api.Settings,
+        settings: api.Settings,
         classes: Sequence[str],
         tenants: Sequence[str],
         seed: int,
@@ -205,58 +234,62 @@
         counters: Counters,
         decider: Decider = Balancer,
     ) -> None:
-        """`decider` makes the decision module; experiments put another one in its place."""
-        self._told, self._limits, self._deadlines, self._counters = told, limits, deadlines, counters
+        """`decider`: makes the decision module; experiments replace it."""
+        self._settings, self._limits, self._deadlines, self._counters = settings, limits, deadlines, counters
         self._classes = {name: index for index, name in enumerate(classes)}
         self._tenants = {name: index for index, name in enumerate(tenants)}
         self._table: SlotTable[Request] = SlotTable()
         self._by_job: dict[str, int] = {}
         self._events: deque[Callable[[], None]] = deque()
-        self._telling = False
-        self.carrier: Carrier
-        self.watcher: Watcher
-        self.doubter: Doubter | None = None  # None: the list is believed
-        self.ending = False  # the program is to end: requests that come now have their answer by `last_word`
-        self.last_word = 0
-        self.teller: Teller | None = None  # None: there are no peers, or no way to them
-        self._over: OrderedDict[str, None] = OrderedDict()  # ids of the last requests that are over
+        self._dispatching = False
+        self.attempt_sender: AttemptSender
+        self.discovery: DiscoveryPoller
+        self.recovery: RecoveryMonitor | None = None  # None: the list is used as it is
+        self.shutting_down = False  # new requests must be answered by `shutdown_deadline`
+        self.shutdown_deadline = 0  # microseconds
+        self.peer_sender: PeerSender | None = None  # None: no peers, or none can be reached
+        self._finished_ids: OrderedDict[str, None] = OrderedDict()  # the latest last
         self.when_idle: Callable[[], None] | None = None  # called when the last request has ended
-        self.elsewhere: set[str] = set()  # ids of requests that are open in another process of this node
-        self.on_id: Callable[[str, bool], None] | None = None  # told of each id taken in, and when it is over
-        self._balancer = decider(told, seed, deadlines.now(), self)
+        self.open_elsewhere: set[str] = set()  # ids that are open in another process of this node
+        # Called with each id when its request is accepted (False) and when it has ended (True).
+        self.on_id_change: Callable[[str, bool], None] | None = None
+        self._balancer = decider(settings, seed, deadlines.now(), self)
         self.audit = Audit(counters, deadlines)
-        self._tally = Tally(self._balancer, counters) if isinstance(self._balancer, Balancer) else None
+        self._late_starts = (
+            LateStartCounter(self._balancer, counters) if isinstance(self._balancer, Balancer) else None
+        )
 
     def __len__(self) -> int:
-        """How many requests are open."""
+        """The number of open requests."""
         return len(self._table)
 
-    # Ids, for another process of the same node.
+    # Ids of requests, for another process of the same node.
 
     def holds(self, job: str) -> bool:
-        """Whether a request with this id is open here."""
+        """Whether a request with this id is open in this process."""
         return job in self._by_job
 
     def open_ids(self) -> list[str]:
-        """Ids of the requests that are open here, oldest first."""
+        """Ids of the requests that are open in this process, oldest first."""
         return list(self._by_job)
 
-    # What comes in.  Events are told one after the other: the module is never entered from its own actions.
+    # Events.  They are passed to the decision module one at a time: an action of the module that causes
+    # another event must not call the module again before it has returned.
 
-    def _tell(self, event: Callable[[], None]) -> None:
+    def _dispatch(self, event: Callable[[], None]) -> None:
         self._events.append(event)
-        if self._telling:
+        if self._dispatching:
             return
-        self._telling = True
+        self._dispatching = True
         try:
             while self._events:
                 try:
                     self._events.popleft()()
                 except Exception as error:
-                    # The module failed on one event: the others must still have their answers.
+                    # An exception on one event must not stop the events of other requests.
                     self._counters.fault("the module failed", error)
         finally:
-            self._telling = False
+            self._dispatching = False
         self._deadlines.sweep()
 
     def arrive(
@@ -272,34 +305,40 @@
         order: Order,
         client: Client,
     ) -> int:
-        """Takes a request in and gives its number; raises `UnfitError` if it can't be."""
-        index = self._classes.get(cls)
-        if index is None:
-            raise UnfitError("unknown class")
-        place = self._tenants.get(tenant or "") if self._tenants else 0
-        if place is None:
-            raise UnfitError("unknown tenant")
+        """Accepts a request and returns its number.
+
+        `job`: the request's id; `cls`, `tenant`: names; `remaining`: time until the client's deadline,
+        microseconds; `repeat_key`: whether the request has a key by which real servers recognise repeats;
+        `slots`, `key`, `hint` (microseconds): as in `Balancer.request`.  Raises `InvalidRequestError` if the
+        request cannot be accepted.
+        """
+        class_index = self._classes.get(cls)
+        if class_index is None:
+            raise InvalidRequestError("unknown class")
+        tenant_index = self._tenants.get(tenant or "") if self._tenants else 0
+        if tenant_index is None:
+            raise InvalidRequestError("unknown tenant")
         if remaining <= 0:
-            raise UnfitError("no time remains")
-        if self._told.classes[index].effect == api.KEYED and not repeat_key:
-            raise UnfitError("this class needs a key against repeats")
-        # Guards against an id sent again once its request is over: real servers may have run it already.
-        if job in self._by_job or job in self._over or job in self.elsewhere:
-            raise UnfitError("the id is in use")
+            raise InvalidRequestError("no time remains")
+        if self._settings.classes[class_index].effect == api.KEYED and not repeat_key:
+            raise InvalidRequestError("this class needs a key against repeats")
+        # Ids of requests that have ended are rejected too: real servers may already have run the job.
+        if job in self._by_job or job in self._finished_ids or job in self.open_elsewhere:
+            raise InvalidRequestError("the id is in use")
         now = self._deadlines.now()
-        if self.ending:
-            remaining = max(1, min(remaining, self.last_word - now))
-        # The module's time ends a little before the client's: the answer needs some to arrive.
+        if self.shutting_down:
+            remaining = max(1, min(remaining, self.shutdown_deadline - now))
+        # The module's deadline is earlier than the client's: the answer takes time to arrive.
         given = remaining - min(self._limits.answer_margin, remaining // 10)
-        request = Request(job, order, client, now + given, self._told, index)
+        request = Request(job, order, client, now + given, self._settings, class_index)
         number = request.number = self._table.put(request)
         self._by_job[job] = number
-        if self.on_id is not None:
-            self.on_id(job, False)
-        # Guards against a request the module holds or lost past its deadline.
-        request.guard = self._deadlines.add(now + remaining, lambda: self._overdue(number))
+        if self.on_id_change is not None:
+            self.on_id_change(job, False)
+        # Answers the client even if the decision module has lost the request or keeps it past its deadline.
+        request.final_deadline = self._deadlines.add(now + remaining, lambda: self._overdue(number))
         self._counters.add("requests")
-        self._tell(lambda: self._submit(number, index, place, given, slots, key, hint))
+        self._dispatch(lambda: self._submit(number, class_index, tenant_index, given, slots, key, hint))
         return number
 
     def _submit(
@@ -309,8 +348,8 @@
         if request is None:
             return
         try:
-            # A guess beyond the class's whole time is none, and would spoil the module's means.
-            hint = min(hint, self._told.classes[cls].deadline)
+            # A hint above the class's deadline is not plausible and would distort the module's averages.
+            hint = min(hint, self._settings.classes[cls].deadline)
             self._balancer.request(
                 request.deadline - remaining, request.job, cls, remaining, tenant, slots, key, hint
             )
@@ -319,144 +358,170 @@
             self._fail(request, Failure.BROKEN)
 
     def leave(self, number: int) -> None:
-        """The client has gone: nothing more is owed."""
+        """The client has gone: the request needs no answer any more."""
         request = self._table.get(number)
         if request is None or request.client is None:
             return
         self._counters.add("clients_gone")
         request.client = None
         job = request.job
-        self._tell(lambda: self._balancer.gone(self._deadlines.now(), job))
+        self._dispatch(lambda: self._balancer.gone(self._deadlines.now(), job))
         for attempt in request.attempts:
-            if attempt.life is AttemptState.UNSENT:
-                # It would still leave where it waits for a connection and cancels are not allowed.
-                self.carrier.give_up(attempt)
+            if attempt.state is AttemptState.UNSENT:
+                # Without permission to cancel, an attempt that waits for a connection would still be sent.
+                self.attempt_sender.give_up(attempt)
                 self.ended(attempt, api.MOOT)
-        self._tidy(request)
+        self._remove_if_done(request)
 
     def closed_unanswered(self, number: int, why: str) -> None:
-        """The client's connection is closed by this node although its answer is owed."""
+        """This node closes the client's connection before the answer was sent; `why`: for the log."""
         self.audit.closed_unanswered(self.job_of(number), why)
 
     def job_of(self, number: int) -> str:
-        """The id of an open request; `-` where there is none of that number."""
+        """The id of the open request with this number; `-` if there is none."""
         request = self._table.get(number)
         return request.job if request is not None else "-"
 
-    def wanted(self, attempt: Attempt) -> bool:
-        """Whether somebody waits for an attempt whose first byte is to leave now."""
+    def check_client(self, attempt: Attempt) -> bool:
+        """Whether an unsent attempt's client still waits, called just before the first byte is sent.
+
+        Ends the request if the client has closed its connection.
+        """
         request = self._table.get(attempt.request)
-        if request is None or request.client is None or attempt.life is not AttemptState.UNSENT:
+        if request is None or request.client is None or attempt.state is not AttemptState.UNSENT:
             return False
-        if request.client.left():
+        if request.client.is_gone():
             self.leave(request.number)
             return False
         return True
 
-    def in_time(self, attempt: Attempt) -> bool:
-        """Whether an attempt whose first byte is to leave now still may; ends it where its time has passed.
-        Its deadlines alone do not do: a node that was held up comes to its sockets first."""
+    def check_deadlines(self, attempt: Attempt) -> bool:
+        """Whether an unsent attempt may still be sent, called just before the first byte is sent.
+
+        Ends the attempt if a deadline has passed.  The timers are not enough: after a pause of the process,
+        sockets are served before timers.
+        """
         now = self._deadlines.now()
-        if attempt.unsent is not None and now >= attempt.unsent.at:
-            self._too_late(attempt)
-        if attempt.late is not None and now >= attempt.late.at:
+        if attempt.send_deadline is not None and now >= attempt.send_deadline.at:
+            self._send_deadline_passed(attempt)
+        if attempt.timeout is not None and now >= attempt.timeout.at:
             self._expired(attempt)
-        return attempt.life is AttemptState.UNSENT
+        return attempt.state is AttemptState.UNSENT
 
     def listed(self, kind: str, entries: Sequence[api.Entry]) -> None:
-        """Discovery gave a list (`api.SNAPSHOT`), changes (`api.DIFF`) or none (`api.LIST_ERROR`)."""
+        """Discovery has sent a list (`kind` is `api.SNAPSHOT`), changes (`api.DIFF`) or an error
+        (`api.LIST_ERROR`).
+        """
         self._counters.add("lists_" + kind)
         self._counters.event("list applied", "debug", kind=kind, entries=len(entries))
-        self._tell(lambda: self._balancer.members(self._deadlines.now(), kind, entries))
-        if self.doubter is not None:
-            self._restate(self.doubter.listed(self._deadlines.now(), kind, entries))
+        self._dispatch(lambda: self._balancer.members(self._deadlines.now(), kind, entries))
+        if self.recovery is not None:
+            self._apply_corrections(self.recovery.listed(self._deadlines.now(), kind, entries))
 
-    def _met(self, server: int, outcome: str) -> None:
-        """A real server has shown that it runs, or that no connection comes up there."""
-        if self.doubter is None:
+    def _report_contact(self, server: int, outcome: str) -> None:
+        """Reports to `recovery` that a real server answered, or that no connection to it could be made."""
+        if self.recovery is None:
             return
         if outcome == api.CONNECT_FAILED:
-            self.doubter.refused(self._deadlines.now(), server)
+            self.recovery.refused(self._deadlines.now(), server)
         elif outcome in (api.OK, api.FULL, api.ERROR):
-            self._restate(self.doubter.alive(self._deadlines.now(), server))
+            self._apply_corrections(self.recovery.alive(self._deadlines.now(), server))
 
-    def _restate(self, entries: Sequence[api.Entry]) -> None:
+    def _apply_corrections(self, entries: Sequence[api.Entry]) -> None:
         if entries:
             self._counters.add("lists_doubted")
-            self._tell(lambda: self._balancer.members(self._deadlines.now(), api.DIFF, entries))
+            self._dispatch(lambda: self._balancer.members(self._deadlines.now(), api.DIFF, entries))
 
     def probed(self, server: int, ok: bool, report: api.Report | None) -> None:
-        """A probe's answer; `report`: what the real server tells of its load, None where it tells nothing."""
+        """A probe has ended; `ok`: the real server is up; `report`: the load that it reported, None if it
+        reported none.
+        """
         self._counters.add("probes_ok" if ok else "probes_failed")
-        self._tell(lambda: self._balancer.probed(self._deadlines.now(), server, ok, report))
+        self._dispatch(lambda: self._balancer.probed(self._deadlines.now(), server, ok, report))
 
     def heard(self, peer: int, data: bytes) -> None:
-        """A datagram of the peer with this number."""
-        self._tell(lambda: self._balancer.heard(self._deadlines.now(), peer, data))
+        """A datagram has arrived from the peer with this number."""
+        self._dispatch(lambda: self._balancer.heard(self._deadlines.now(), peer, data))
+
+    def reconfigure(self, settings: api.Settings) -> None:
+        """Applies new settings to requests that arrive from now on.
 
-    def reconfigure(self, told: api.Settings) -> None:
-        """Other settings for requests that come from now on; raises `SettingsError` and changes nothing where
-        they differ in what can't change at work."""
-        self._told.check_change(told)
-        self._told = told
-        self._tell(lambda: self._balancer.reconfigure(self._deadlines.now(), told))
+        Raises `SettingsError`, and changes nothing, if a setting differs that cannot change while the node
+        runs.
+        """
+        self._settings.check_change(settings)
+        self._settings = settings
+        self._dispatch(lambda: self._balancer.reconfigure(self._deadlines.now(), settings))
 
-    # What outlives the program.
+    # State that is kept across restarts.
 
-    def consult(self, what: Callable[[Any, int], T]) -> T:
-        """Gives the module and the time to something that is no event and sends nothing."""
+    def with_balancer(self, what: Callable[[Any, int], T]) -> T:
+        """Calls `what` with the decision module and the time (microseconds), and returns its result.
+
+        `what` must not pass events to the module or cause actions.
+        """
         return what(self._balancer, self._deadlines.now())
 
-    def ids(self) -> list[str]:
-        """Those that must not be taken again: of the requests that are over, and of those that are open."""
-        return [*self._over, *self._by_job][-self._limits.remembered :]
+    def known_ids(self) -> list[str]:
+        """Ids that must not be accepted again, of ended and open requests, the latest last."""
+        return [*self._finished_ids, *self._by_job][-self._limits.remembered :]
 
-    def remember(self, ids: Sequence[str]) -> None:
-        """Ids of an earlier life of the program, the latest last."""
+    def remember_ids(self, ids: Sequence[str]) -> None:
+        """Adds ids of requests that another process of the node accepted, the latest last."""
         for job in ids[-self._limits.remembered :]:
             if len(job) <= self._limits.identity:
-                self._over[job] = None
+                self._finished_ids[job] = None
 
-    def find(self, job: str, name: str) -> Attempt | None:
-        """The attempt that a real server, known by its name, may still speak of."""
+    def find_attempt(self, job: str, name: str) -> Attempt | None:
+        """The open attempt of the request `job` at the real server `name`; None if there is none."""
         request = self._table.get(self._by_job.get(job, -1))
         if request is None or not request.attempts:
             return None
         last = request.attempts[-1]
-        # Guards against a late word on an old attempt: it must not end the present one.
-        return last if last.name == name and last.life is not AttemptState.ENDED else None
+        # A late callback about an earlier attempt must not end the current one.
+        return last if last.server_name == name and last.state is not AttemptState.ENDED else None
+
+    def tried_before(self, attempt: Attempt, name: str) -> bool:
+        """Whether another attempt of the same request went to the real server `name`.
 
-    def met(self, attempt: Attempt, name: str) -> bool:
-        """Whether an earlier attempt of its request went to a real server of that name: which of the two a
-        word is about could not be told."""
+        A callback could then be about either attempt.
+        """
         request = self._table.get(attempt.request)
-        return request is not None and any(s.name == name for s in request.attempts if s is not attempt)
+        return request is not None and any(
+            other.server_name == name for other in request.attempts if other is not attempt
+        )
 
-    def word(
+    def apply_evidence(
         self,
         attempt: Attempt,
-        word: Evidence,
+        evidence: Evidence,
         report: api.Report | None = None,
         result: bytes | None = None,
     ) -> bool:
-        """Takes in what is heard of an attempt; False if it proves nothing and was passed over."""
-        step = TRANSITIONS[attempt.life].get(word)
-        if step is None:
+        """Applies what a connection, an answer or a callback shows about an attempt.
+
+        `report`: the real server's load; `result`: the job's result.  Returns False if the evidence has no
+        meaning in the attempt's state and was ignored.
+        """
+        transition = TRANSITIONS[attempt.state].get(evidence)
+        if transition is None:
             return False
-        if step.state is not AttemptState.ENDED:
-            attempt.life = step.state
-            if attempt.unsent is not None:
-                self._deadlines.drop(attempt.unsent)
-        if step.give_up:
+        if transition.state is not AttemptState.ENDED:
+            attempt.state = transition.state
+            if attempt.send_deadline is not None:
+                self._deadlines.drop(attempt.send_deadline)
+        if transition.give_up:
             self._counters.add("odd_words")
-            # Guards against a second copy: nobody has said for sure that the job does not run.
-            self.carrier.give_up(attempt).addBoth(lambda _: self.ended(attempt, step.outcome, report))
-        elif step.give_up_before_repeat and self._may_repeat(attempt):
-            self.carrier.give_up(attempt, broken=True).addBoth(
-                lambda _: self.ended(attempt, step.outcome, report)
+            # The job may still run: another attempt now could make a second copy of it.
+            self.attempt_sender.give_up(attempt).addBoth(
+                lambda _: self.ended(attempt, transition.outcome, report)
+            )
+        elif transition.give_up_before_repeat and self._may_repeat(attempt):
+            self.attempt_sender.give_up(attempt, broken=True).addBoth(
+                lambda _: self.ended(attempt, transition.outcome, report)
             )
-        elif step.outcome:
-            self.ended(attempt, step.outcome, report, result)
+        elif transition.outcome:
+            self.ended(attempt, transition.outcome, report, result)
         return True
 
     def _may_repeat(self, attempt: Attempt) -> bool:
@@ -469,19 +534,19 @@
             and len(request.attempts) < request.most_attempts
         )
 
-    def noted(self, attempt: Attempt, what: int, amount: float) -> None:
-        """A real server told of a start or of progress; `what` and `amount` are those of `Balancer.note`."""
-        if attempt.life is not AttemptState.ENDED:
-            self._met(attempt.server, api.OK)
+    def report_progress(self, attempt: Attempt, what: int, amount: float) -> None:
+        """A real server has reported a start or progress; `what` and `amount`: as in `Balancer.note`."""
+        if attempt.state is not AttemptState.ENDED:
+            self._report_contact(attempt.server, api.OK)
             request = self._table.get(attempt.request)
-            if self._tally is not None and request is not None and what == api.STARTED:
-                self._tally.over(attempt, request.aim, self._deadlines.now())
-            self._tell(
+            if self._late_starts is not None and request is not None and what == api.STARTED:
+                self._late_starts.finished(attempt, request.aim, self._deadlines.now())
+            self._dispatch(
                 lambda: self._balancer.note(self._deadlines.now(), attempt.job, attempt.number, what, amount)
             )
 
-    def waits(self, attempt: Attempt) -> bool:
-        """Whether somebody still waits for what becomes of it: once it ends, another may follow."""
+    def is_awaited(self, attempt: Attempt) -> bool:
+        """Whether a client still waits for this open attempt: another one may follow when it ends."""
         request = self._table.get(attempt.request)
         return request is not None and request.client is not None and not attempt.ended
 
@@ -492,32 +557,35 @@
         report: api.Report | None = None,
         result: bytes | None = None,
     ) -> None:
-        """The one outcome of an attempt; a second one is passed over."""
-        if attempt.life is AttemptState.ENDED:
+        """Ends an attempt with its outcome; a second outcome is ignored.
+
+        `outcome`: one of the interface's; `report`: the real server's load; `result`: the job's result.
+        """
+        if attempt.state is AttemptState.ENDED:
             return
-        attempt.last_life, attempt.outcome = attempt.life, outcome
-        attempt.life = AttemptState.ENDED
-        self._deadlines.drop(attempt.late)
-        if attempt.unsent is not None:
-            self._deadlines.drop(attempt.unsent)
-        if attempt.ticket is not None:
-            # Ended by a callback that overtook its 202.  Guards against a real server that dies before the
-            # 202 comes through, without a word: the connection would wait for good.
-            self._deadlines.after(self._limits.give_up, attempt.ticket.cancel)
+        attempt.last_state, attempt.outcome = attempt.state, outcome
+        attempt.state = AttemptState.ENDED
+        self._deadlines.drop(attempt.timeout)
+        if attempt.send_deadline is not None:
+            self._deadlines.drop(attempt.send_deadline)
+        if attempt.exchange is not None:
+            # A callback arrived before the 202.  If the real server now dies silently, the connection would
+            # wait for the 202 forever.
+            self._deadlines.after(self._limits.give_up, attempt.exchange.cancel)
         self._counters.add("outcome_" + outcome)
-        self._met(attempt.server, outcome)
+        self._report_contact(attempt.server, outcome)
         request = self._table.get(attempt.request)
         if request is None:
             return
-        request.late = outcome == api.TIMEOUT
-        if self._tally is not None:
-            self._tally.over(attempt, request.aim, self._deadlines.now())
+        request.timed_out = outcome == api.TIMEOUT
+        if self._late_starts is not None:
+            self._late_starts.finished(attempt, request.aim, self._deadlines.now())
         if outcome != api.OK:
             self._counters.event(
                 "scheduling ended badly",
                 flow=attempt.job,
                 scheduling=attempt.number,
-                server=attempt.name,
+                server=attempt.server_name,
                 outcome=outcome,
                 after_us=self._deadlines.now() - attempt.sent,
             )
@@ -525,14 +593,14 @@
             client, request.client = request.client, None
             self._counters.add("answered_served")
             client.served(result or b"")
-        over = request.client is None
+        done = request.client is None
         now = self._deadlines.now()
-        self._tell(
+        self._dispatch(
             lambda: self._balancer.answer(
-                now, attempt.job, attempt.number, outcome, now - attempt.sent, over, report
+                now, attempt.job, attempt.number, outcome, now - attempt.sent, done, report
             )
         )
-        self._tidy(request)
+        self._remove_if_done(request)
 
     def _overdue(self, number: int) -> None:
         request = self._table.get(number)
@@ -542,25 +610,25 @@
         job = request.job
         self._counters.event("flow overdue", "warning", flow=job)
         self._fail(request, Failure.LATE)
-        self._tell(lambda: self._balancer.gone(self._deadlines.now(), job))
+        self._dispatch(lambda: self._balancer.gone(self._deadlines.now(), job))
 
     def _expired(self, attempt: Attempt) -> None:
-        """Time ran out on an attempt."""
+        """The attempt has timed out."""
         request = self._table.get(attempt.request)
         if attempt.ended or request is None:
             return
-        told = self.carrier.give_up(attempt)
+        given_up = self.attempt_sender.give_up(attempt)
         if self._deadlines.now() >= request.deadline:
             self.ended(attempt, api.TIMEOUT)
         else:
-            # Another attempt may follow: it must not leave before the old one's end is out.
-            told.addBoth(lambda _: self.ended(attempt, api.TIMEOUT))
+            # Another attempt may follow, but not before this one is known to be given up.
+            given_up.addBoth(lambda _: self.ended(attempt, api.TIMEOUT))
 
-    def _too_late(self, attempt: Attempt) -> None:
-        """Its last byte has not left by the time that is allowed: it never will."""
-        if attempt.life is AttemptState.UNSENT:
+    def _send_deadline_passed(self, attempt: Attempt) -> None:
+        """Ends an attempt whose last byte has not left by its send deadline: it will not be sent."""
+        if attempt.state is AttemptState.UNSENT:
             self._counters.add("left_unsent")
-            self.carrier.give_up(attempt)
+            self.attempt_sender.give_up(attempt)
             self.ended(attempt, api.MOOT)
 
     def _fail(self, request: Request, why: Failure) -> None:
@@ -568,36 +636,38 @@
             client, request.client = request.client, None
             self._counters.add("answered_failed")
             client.failed(why)
-        self._tidy(request)
+        self._remove_if_done(request)
 
-    def _tidy(self, request: Request) -> None:
-        """A request's slot is free once its answer is given and no attempt is out."""
+    def _remove_if_done(self, request: Request) -> None:
+        """Removes a request once its client has the answer or has gone, and all attempts have ended."""
         if (
             request.client is None
-            and all(s.life is AttemptState.ENDED for s in request.attempts)
+            and all(attempt.state is AttemptState.ENDED for attempt in request.attempts)
             and self._table.get(request.number)
         ):
-            self._deadlines.drop(request.guard)
+            self._deadlines.drop(request.final_deadline)
             self._table.free(request.number)
             del self._by_job[request.job]
-            self._over[request.job] = None
-            while len(self._over) > self._limits.remembered:
-                self._over.popitem(last=False)
-            if self.on_id is not None:
-                self.on_id(request.job, True)
+            self._finished_ids[request.job] = None
+            while len(self._finished_ids) > self._limits.remembered:
+                self._finished_ids.popitem(last=False)
+            if self.on_id_change is not None:
+                self.on_id_change(request.job, True)
             if not len(self._table) and self.when_idle is not None:
                 self.when_idle()
 
-    # The module's actions.
+    # Actions of the decision module.
 
     def send(self, job: str, worker: int, until: int, by: int = 0) -> None:
-        """Makes the next attempt of a request; one that may not leave any more ends as `api.MOOT` at once.
-        `until`, `by`: as in `interface.Actions`, microseconds."""
+        """Sends the next attempt of a request; one that may no longer be sent ends as `api.MOOT` at once.
+
+        `until`, `by`: as in `interface.Actions`, microseconds.
+        """
         request = self._table.get(self._by_job.get(job, -1))
         if request is None:
             return
-        if request.client is not None and request.client.left():
-            # Guards against one that has closed while we were busy: its end is still to be read.
+        if request.client is not None and request.client.is_gone():
+            # The client may have closed its connection while the node was busy, and the end is not read yet.
             self.leave(request.number)
         now = self._deadlines.now()
         until = min(until, request.deadline) if until else request.deadline
@@ -613,56 +683,56 @@
         ):
             self.ended(attempt, api.MOOT)
             return
-        attempt.late = self._deadlines.add(until, lambda: self._expired(attempt))
+        attempt.timeout = self._deadlines.add(until, lambda: self._expired(attempt))
         if 0 < by < until:
-            # Guards against a repeat that a slow connection brings when its group has forgotten the first.
-            attempt.unsent = self._deadlines.add(by, lambda: self._too_late(attempt))
+            # A repeat on a slow connection may arrive after its group has forgotten the first attempt.
+            attempt.send_deadline = self._deadlines.add(by, lambda: self._send_deadline_passed(attempt))
         self._counters.add("attempts")
         if attempt.number:
             self.audit.repeated(request.effect, request.attempts)
-        if self._tally is not None:
-            self._tally.sent(attempt)
-        self.carrier.carry(attempt, request.order, until)
+        if self._late_starts is not None:
+            self._late_starts.sent(attempt)
+        self.attempt_sender.send_attempt(attempt, request.order, until)
 
     def refuse(self, job: str, retry_after: int) -> None:
-        """Ends a request with a refusal; `retry_after`: microseconds, 0 where nothing is advised."""
+        """Ends a request with a refusal; `retry_after`: microseconds, 0: no advice."""
         request = self._table.get(self._by_job.get(job, -1))
         if request is not None and request.client is not None:
             client, request.client = request.client, None
             self._counters.add("answered_turned_down")
             if request.attempts:
                 self.audit.refused(request.effect, request.attempts)
-            client.turned_down(retry_after, not request.attempts)
-            self._tidy(request)
+            client.refused(retry_after, not request.attempts)
+            self._remove_if_done(request)
 
     def fail(self, job: str) -> None:
         """Ends a request without a result."""
         request = self._table.get(self._by_job.get(job, -1))
         if request is not None:
-            self._fail(request, Failure.LATE if request.late else Failure.BROKEN)
+            self._fail(request, Failure.LATE if request.timed_out else Failure.BROKEN)
 
     def cancel(self, job: str, attempt: int) -> None:
-        """Gives up an attempt by its number; it ends as `api.CANCELLED` once the real server was told."""
+        """Gives up an attempt by its number; it ends as `api.CANCELLED` once that is done."""
         request = self._table.get(self._by_job.get(job, -1))
         if request is None or attempt >= len(request.attempts) or request.attempts[attempt].ended:
             return
         chosen = request.attempts[attempt]
-        self.carrier.give_up(chosen).addBoth(lambda _: self.ended(chosen, api.CANCELLED))
+        self.attempt_sender.give_up(chosen).addBoth(lambda _: self.ended(chosen, api.CANCELLED))
 
     def probe(self, worker: int) -> None:
         """Probes a real server by its number."""
         self._counters.add("probes")
-        self.carrier.probe(worker)
+        self.attempt_sender.probe(worker)
 
     def tell(self, data: bytes, to: int | None = None) -> None:
-        """Hands a datagram to the teller; without one nothing goes out."""
-        if self.teller is not None:
-            self.teller.tell(data, to)
+        """Sends a datagram to one peer or to all; does nothing without a `peer_sender`."""
+        if self.peer_sender is not None:
+            self.peer_sender.tell(data, to)
 
     def watch(self) -> None:
-        """Has discovery asked."""
-        self.watcher.watch()
+        """Polls discovery once."""
+        self.discovery.watch()
 
     def arm(self, time: int) -> None:
-        """Wakes the module at `time`, microseconds on the node's clock."""
-        self._deadlines.add(time, lambda: self._tell(lambda: self._balancer.wake(self._deadlines.now())))
+        """Wakes the decision module at `time`, microseconds on the node's clock."""
+        self._deadlines.add(time, lambda: self._dispatch(lambda: self._balancer.wake(self._deadlines.now())))
--- a/violetsaddle/net/servers.py
+++ b/violetsaddle/net/servers.py
@@ -33,7 +33,7 @@
 
 
 class Servers:
-    """All real servers known; implements `requests.Carrier`."""
+    """All real servers known; implements `requests.AttemptSender`."""
 
     def __init__(
         self,
@@ -317,25 +317,25 @@
 
     # What the requests ask for.
 
-    def carry(self, attempt: Attempt, order: Order, until: int) -> None:
+    def send_attempt(self, attempt: Attempt, order: Order, until: int) -> None:
         """Dials if no kept connection may bear the attempt; a real server that drains or has gone counts as
         unreached."""
         server = self._by_number.get(attempt.server)
         if server is None:
-            self._requests.word(attempt, Evidence.NOT_CONNECTED)
+            self._requests.apply_evidence(attempt, Evidence.NOT_CONNECTED)
             return
-        if attempt.number and self._requests.met(attempt, server.name):
+        if attempt.number and self._requests.tried_before(attempt, server.name):
             self._requests.ended(attempt, api.MOOT)
             return
-        attempt.name, attempt.real = server.name, server
+        attempt.server_name, attempt.server_handle = server.name, server
 
         def written() -> None:
-            self._requests.word(attempt, Evidence.WRITTEN)
+            self._requests.apply_evidence(attempt, Evidence.WRITTEN)
 
         fresh = attempt.effect == api.UNSAFE or self._deadlines.now() < self._doubt_until
         kept = None if fresh else self._idle(server, sure=attempt.effect != api.SAFE)
-        attempt.dialled = kept is None
-        ticket = attempt.ticket = self._exchange(
+        attempt.on_new_connection = kept is None
+        ticket = attempt.exchange = self._exchange(
             server, kept, partial(self._message, attempt, server, order, until), written, clean=(202,)
         )
         ticket.addCallbacks(self._answered, self._not_carried, (attempt,), errbackArgs=(attempt,))
@@ -348,33 +348,35 @@
         if (
             not server.listed
             or server.drains
-            or not self._requests.in_time(attempt)
-            or (now > attempt.sent + self._limits.unseen and not self._requests.wanted(attempt))
+            or not self._requests.check_deadlines(attempt)
+            or (now > attempt.sent + self._limits.unseen and not self._requests.check_client(attempt))
         ):
             raise WithheldError
         return order.message(server.address, until - now)
 
     def _answered(self, answer: http.Message, attempt: Attempt) -> None:
-        attempt.ticket = None
+        attempt.exchange = None
         if answer.status == 202:
-            self._requests.word(attempt, Evidence.ACCEPTED)
+            self._requests.apply_evidence(attempt, Evidence.ACCEPTED)
             return
         word = classify_answer(answer.status, answer.header("x-turned-away"))
         if not answer.sure or (word is Evidence.TURNED_AWAY and not answer.delimited):
             # Guards against a late second answer to the request before, which says nothing of this one, and
             # against one that was cut where nothing tells its length.
             word = Evidence.UNEXPECTED
-        self._requests.word(attempt, word, self.report(answer.header("x-pressure")))
+        self._requests.apply_evidence(attempt, word, self.report(answer.header("x-pressure")))
 
     def _not_carried(self, reason: Reason, attempt: Attempt) -> Reason | None:
-        attempt.ticket = None
+        attempt.exchange = None
         if isinstance(reason.value, (NotConnectedError, WithheldError)):
-            self._requests.word(attempt, Evidence.NOT_CONNECTED)
+            self._requests.apply_evidence(attempt, Evidence.NOT_CONNECTED)
         elif isinstance(reason.value, BrokenError):
             self._requests.audit.broken(attempt, reason.value.written, reason.value.why)
             if reason.value.written:
-                self._requests.word(attempt, Evidence.WRITTEN)
-            self._requests.word(attempt, Evidence.TRUNCATED if reason.value.begun else Evidence.DISCONNECTED)
+                self._requests.apply_evidence(attempt, Evidence.WRITTEN)
+            self._requests.apply_evidence(
+                attempt, Evidence.TRUNCATED if reason.value.begun else Evidence.DISCONNECTED
+            )
         else:
             return reason
         return None
@@ -382,17 +384,17 @@
     def give_up(self, attempt: Attempt, broken: bool = False) -> Deferred[None]:
         """Closes the connection if no answer has come, and sends a DELETE where the site allows it and the
         job may be there.  `broken`: the connection was reset before an answer."""
-        ticket, attempt.ticket = attempt.ticket, None
+        ticket, attempt.exchange = attempt.exchange, None
         if ticket is not None:
             ticket.cancel()  # no answer has come: the end of the connection gives the job up
-        server = attempt.real
+        server = attempt.server_handle
         if (
             not isinstance(server, RealServer)
             or not attempt.may_cancel
-            or attempt.life is AttemptState.UNSENT
+            or attempt.state is AttemptState.UNSENT
         ):
             attempt.release = Release.CLOSED
-            self._requests.audit.released(attempt, self._requests.waits(attempt), 0, "")
+            self._requests.audit.released(attempt, self._requests.is_awaited(attempt), 0, "")
             return succeed(None)
         # Also before a 202: one that has crossed the closing would leave the job running.
         return self._releases.begin(attempt, server, broken)
--- a/violetsaddle/net/tally.py
+++ b/violetsaddle/net/tally.py
@@ -11,44 +11,44 @@
 from violetsaddle.policy import BUSY_SHARE_HIGH, LATE_START_SHARE, Balancer
 
 
-class Begun(Protocol):
+class SentAttempt(Protocol):
     """Of an attempt: its real server, when it was sent (microseconds), and what is kept here about it."""
 
     server: int
     sent: int
-    doubt: str
+    late_cause: str
 
 
-class Tally:
+class LateStartCounter:
     """Judges each attempt as it is sent and counts it if it starts late."""
 
     def __init__(self, view: Balancer, counters: Counters) -> None:
         """`view`: read, never changed."""
         self._view, self._counters = view, counters
 
-    def sent(self, attempt: Begun) -> None:
+    def sent(self, attempt: SentAttempt) -> None:
         """Called as the module sends it: its own books have the attempt already."""
         view = self._view
         worker = view.workers.get(attempt.server)
         if worker is None:
-            attempt.doubt = "stale"
+            attempt.late_cause = "stale"
             return
         if worker.cold_until > attempt.sent:
-            attempt.doubt = "cold"
+            attempt.late_cause = "cold"
             self._counters.add("sent_cold")
             if worker.cold.tokens < 0.0:
                 self._counters.add("sent_cold_over")
         elif not worker.tracked:
-            attempt.doubt = "blind"
+            attempt.late_cause = "blind"
         elif view.busy_share > BUSY_SHARE_HIGH and view.fleet.most_free:  # without sizes it says nothing
-            attempt.doubt = "crowded"
+            attempt.late_cause = "crowded"
         elif worker.zone != view.settings.zone:
-            attempt.doubt = "abroad"
+            attempt.late_cause = "abroad"
         else:
-            attempt.doubt = "stale"
+            attempt.late_cause = "stale"
 
-    def over(self, attempt: Begun, aim: int, now: int) -> None:
+    def finished(self, attempt: SentAttempt, aim: int, now: int) -> None:
         """It has started, or ended without; the first call counts.  `aim`: its class's, microseconds."""
-        if attempt.doubt and now - attempt.sent > LATE_START_SHARE * aim:
-            self._counters.add("late_" + attempt.doubt)
-        attempt.doubt = ""
+        if attempt.late_cause and now - attempt.sent > LATE_START_SHARE * aim:
+            self._counters.add("late_" + attempt.late_cause)
+        attempt.late_cause = ""
--- a/violetsaddle/net/upgrade.py
+++ b/violetsaddle/net/upgrade.py
@@ -498,14 +498,14 @@
             self._message = None
         elif isinstance(message, Ids):
             if message.open:
-                self._requests.elsewhere.update(message.ids)
+                self._requests.open_elsewhere.update(message.ids)
             else:
-                self._requests.remember(message.ids)
+                self._requests.remember_ids(message.ids)
         elif isinstance(message, Took):
-            self._requests.elsewhere.add(message.id)
+            self._requests.open_elsewhere.add(message.id)
         elif isinstance(message, Over):
-            self._requests.elsewhere.discard(message.id)
-            self._requests.remember([message.id])
+            self._requests.open_elsewhere.discard(message.id)
+            self._requests.remember_ids([message.id])
             self._node.settle()
         elif isinstance(message, Call):
             self._take_call(message)
@@ -523,7 +523,7 @@
 
     def _both(self) -> None:
         """From now on each side tells the other of its requests, and passes on callbacks on others."""
-        self._requests.on_id = self._on_id
+        self._requests.on_id_change = self._on_id
         self._node.edge.pass_on = self._pass_on
 
     def _on_id(self, job: str, over: bool) -> None:
@@ -531,9 +531,9 @@
 
     def _alone(self) -> None:
         """The other side has gone; nothing of its requests is open any more."""
-        self._requests.on_id = self._node.edge.pass_on = None
-        self._requests.remember(sorted(self._requests.elsewhere))
-        self._requests.elsewhere.clear()
+        self._requests.on_id_change = self._node.edge.pass_on = None
+        self._requests.remember_ids(sorted(self._requests.open_elsewhere))
+        self._requests.open_elsewhere.clear()
         for number, (body, _, _) in list(self._calls.items()):
             # As if it had come now: nobody has that request.
             self._answered(number, 204)
@@ -613,8 +613,8 @@
             return
         self._step("state said")
         self._ended_since = []
-        self._requests.on_id = self._note_id
-        self._say_ids(self._requests.ids(), False)
+        self._requests.on_id_change = self._note_id
+        self._say_ids(self._requests.known_ids(), False)
         self._say(Whole())
 
     def _note_id(self, job: str, over: bool) -> None:
@@ -720,7 +720,7 @@
 
     def _serves(self) -> None:
         self._both()
-        self._node.guest = lambda: bool(self._requests.elsewhere)
+        self._node.guest = lambda: bool(self._requests.open_elsewhere)
         self._write_pid()  # first: the old process takes the file away if it ends and is still named there
         self._say(Serves())
         if self._link is not None:
--- a/violetsaddle/net/warmth.py
+++ b/violetsaddle/net/warmth.py
@@ -62,8 +62,10 @@
         """What is known now, as bytes that `recall` takes."""
         node, listing = self._node, self._listing
         unix = node.clock.unix()
-        made = node.requests.consult(
-            lambda balancer, now: memory.learned(balancer, now, unix, node.requests.ids(), listing.whole())
+        made = node.requests.with_balancer(
+            lambda balancer, now: memory.learned(
+                balancer, now, unix, node.requests.known_ids(), listing.whole()
+            )
         )
         made.source = listing.source
         return snapshots.encode(made, self._digest, self._told.snapshot_most_kb << 10)
@@ -83,14 +85,14 @@
             node.counters.say(f"snapshot: not used: {error}"[:300])
         except Exception as error:  # guards against a fault of ours: a fresh start does no harm
             node.counters.fault("snapshot: not used", error)
-        self._slots = node.requests.consult(lambda balancer, _: float(balancer.fleet.slots))
+        self._slots = node.requests.with_balancer(lambda balancer, _: float(balancer.fleet.slots))
         if self._disk is not None:
             self._later()
 
     def _recall(self, old: Memory) -> None:
         node, unix = self._node, self._node.clock.unix()
         # Facts: they hold however old they are and whatever the clocks say.
-        node.requests.remember(old.ids)
+        node.requests.remember_ids(old.ids)
         age = memory.age_of(old, node.deadlines.now(), unix)
         host, port = node.config.discovery
         listing = memory.newer(old, node.config.known, f"{host}:{port}", age, self._most_age)
@@ -100,7 +102,7 @@
             except BadListError as error:
                 listing = None
                 node.counters.say(f"snapshot: its list is none: {error}"[:300])
-        found = self._believed = node.requests.consult(
+        found = self._believed = node.requests.with_balancer(
             lambda balancer, now: memory.believe(balancer, old, now, unix, self._most_age)
         )
         ids = f"{len(old.ids)} ids" + (f", list {listing['version']}" if listing is not None else "")
@@ -223,7 +225,7 @@
 
     def _believe(self, asking: warmth.Asking) -> None:
         node = self._node
-        found: Believed = node.requests.consult(
+        found: Believed = node.requests.with_balancer(
             lambda balancer, now: warmth.believe(
                 balancer, asking.take(now), now, self._began, balancer.fleet.slots != self._slots
             )
@@ -246,7 +248,7 @@
         if answering is None or peers is None:
             return True
         if data[1] == warmth.QUESTION:
-            answers: list[bytes] = node.requests.consult(
+            answers: list[bytes] = node.requests.with_balancer(
                 lambda balancer, now: answering.answer(balancer, now, origin, data)
             )
             for answer in answers:
