--- a/violetsaddle/net/audit.py
+++ b/violetsaddle/net/audit.py
@@ -1,8 +1,8 @@
-"""Records why attempts are given up and repeated, and why requests are refused after one, by request id.
+"""Records, by request id, why attempts are given up or repeated, and why requests are refused after one.
 
-`Requests`, `Servers` and the client connections call it; it decides nothing.  With an operator file each is
-an event of that log.  Without one it is a line on standard error, at most `LINES_PER_SECOND`; the rest is
-counted as `records_left_out`."""
+`Requests`, `Servers` and the client connections call it; it makes no decisions.  With an operator file, each
+record is an event of that log.  Without one, it is a line on standard error, at most
+`MAX_LINES_PER_SECOND`; the rest is counted as `records_left_out`."""
 
 from __future__ import annotations
 
@@ -14,16 +14,16 @@
 from violetsaddle.net.deadlines import Deadlines
 from violetsaddle.net.limits import MS, SECOND
 
-LINES_PER_SECOND = 20
+MAX_LINES_PER_SECOND = 20
 
 
-class Recorded(Protocol):
-    """What is read of an attempt."""
+class RecordedAttempt(Protocol):
+    """The properties of an attempt that are recorded."""
 
     job: str
     number: int
     server_name: str
-    sent: int
+    sent: int  # microseconds
     state: AttemptState
     last_state: AttemptState
     outcome: str
@@ -31,15 +31,15 @@
 
 
 class Audit:
-    """The records of one node."""
+    """Writes the records of one node."""
 
     def __init__(self, counters: Counters, deadlines: Deadlines) -> None:
-        """`deadlines`: gives the time."""
+        """`deadlines`: provides the time."""
         self._counters, self._deadlines = counters, deadlines
-        self._second, self._written = 0, 0
+        self._second, self._lines_written = 0, 0
 
-    def repeated(self, effect: str, attempts: Sequence[Recorded]) -> None:
-        """Another attempt of a request is about to leave; it is the last of `attempts`."""
+    def repeated(self, effect: str, attempts: Sequence[RecordedAttempt]) -> None:
+        """Another attempt of a request is about to be sent; it is the last of `attempts`."""
         attempt = attempts[-1]
         self._counters.add(f"repeats_{effect}_after_{attempts[-2].outcome}")
         self._record(
@@ -50,9 +50,12 @@
             earlier=self._summary(attempts[:-1]),
         )
 
-    def released(self, attempt: Recorded, wanted: bool, tries: int, detail: str) -> None:
-        """An attempt was given up.  `wanted`: its request still waits for an answer; `tries`: DELETEs sent;
-        `detail`: the last one's status, or why it has none."""
+    def released(self, attempt: RecordedAttempt, wanted: bool, tries: int, detail: str) -> None:
+        """An attempt was given up.
+
+        `wanted`: a client still waits for its request; `tries`: the number of DELETEs sent; `detail`: the
+        status of the last one, or why it has none.
+        """
         self._counters.add(f"releases_{attempt.release}")
         if wanted:
             self._record(
@@ -64,11 +67,11 @@
                 release=attempt.release,
                 tries=tries,
                 detail=detail,
-                after_ms=self._since(attempt),
+                after_ms=self._ms_since_sent(attempt),
             )
 
-    def refused(self, effect: str, attempts: Sequence[Recorded]) -> None:
-        """A request is refused after these attempts, of which there is one at least."""
+    def refused(self, effect: str, attempts: Sequence[RecordedAttempt]) -> None:
+        """A request is refused after `attempts`; there is at least one."""
         self._counters.add(f"refusals_{effect}_after_{attempts[-1].outcome}")
         self._record(
             "refused after an attempt",
@@ -78,13 +81,15 @@
         )
 
     def closed_unanswered(self, job: str, why: str) -> None:
-        """A client's connection is closed by this node although an answer is owed on it."""
+        """This node closes a client's connection before the answer was sent; `why`: for the log."""
         self._counters.add("closed_unanswered")
         self._record("closed unanswered", request=job, why=why)
 
-    def broken(self, attempt: Recorded, written: bool, why: str) -> None:
-        """An attempt's connection has ended before a whole answer.  `written`: its last byte had left;
-        `why`: `transports.why_lost`."""
+    def broken(self, attempt: RecordedAttempt, written: bool, why: str) -> None:
+        """An attempt's connection has ended before a complete answer.
+
+        `written`: the request's last byte had been sent; `why`: the result of `transports.why_lost`.
+        """
         self._counters.add("attempts_broken")
         self._record(
             "attempt's connection ended",
@@ -93,26 +98,27 @@
             server=attempt.server_name,
             written=written,
             why=why,
-            after_ms=self._since(attempt),
+            after_ms=self._ms_since_sent(attempt),
         )
 
     def not_connected(self, server: str, why: str) -> None:
-        """No connection to a server came up; `why`: the error's symbol, or a few words."""
+        """A connection to a real server failed; `why`: the symbol of the error, or a few words."""
         self._counters.add(f"dials_failed_{why.replace(' ', '_').lower()}")
 
     def call_failed(self, call: str, error: str, **about: object) -> None:
-        """A system call on a connection failed; `error`: its symbol; `about`: whose connection it is."""
+        """A system call on a connection failed; `error`: its symbol; `about`: tells which connection."""
         self._counters.add(f"calls_failed_{call}_{error.lower()}")
         self._record("system call failed", call=call, error=error, **about)
 
-    def _since(self, attempt: Recorded) -> int:
+    def _ms_since_sent(self, attempt: RecordedAttempt) -> int:
         return (self._deadlines.now() - attempt.sent) // MS
 
-    def _summary(self, attempts: Sequence[Recorded]) -> str:
-        """`number:server:life>outcome:release:ms since it was sent`, divided by commas."""
+    def _summary(self, attempts: Sequence[RecordedAttempt]) -> str:
+        """The attempts as `number:server:state>outcome:release:ms since sent`, separated by commas."""
         return ",".join(
-            f"{a.number}:{a.server_name or '-'}:{a.last_state}>{a.outcome}:{a.release}:{self._since(a)}"
-            for a in attempts
+            f"{attempt.number}:{attempt.server_name or '-'}:{attempt.last_state}>{attempt.outcome}"
+            f":{attempt.release}:{self._ms_since_sent(attempt)}"
+            for attempt in attempts
         )
 
     def _record(self, event: str, **fields: object) -> None:
@@ -121,9 +127,9 @@
             return
         second = self._deadlines.now() // SECOND
         if second != self._second:
-            self._second, self._written = second, 0
-        if self._written >= LINES_PER_SECOND:
+            self._second, self._lines_written = second, 0
+        if self._lines_written >= MAX_LINES_PER_SECOND:
             self._counters.add("records_left_out")
             return
-        self._written += 1
+        self._lines_written += 1
         self._counters.say(" ".join([event + ":", *(f"{key}={value}" for key, value in fields.items())]))
