--- a/violetsaddle/net/tally.py
+++ b/violetsaddle/net/tally.py
@@ -1,7 +1,7 @@
-"""Counts what the fleet's losses are made of: late starts by cause, and what cold real servers are sent.
+"""Counts late starts of attempts by cause, and attempts that are sent to cold real servers.
 
-An attempt is late if it has not started within the module's patience with its class.  The cause is what the
-module could see as it chose: nothing here changes a decision."""
+An attempt is late if it has not started within `LATE_START_SHARE` of its class's aim.  The cause is what the
+decision module could see when it chose the real server.  These counts do not influence any decision."""
 
 from __future__ import annotations
 
@@ -12,7 +12,10 @@
 
 
 class SentAttempt(Protocol):
-    """Of an attempt: its real server, when it was sent (microseconds), and what is kept here about it."""
+    """The properties of an attempt that are used here; `sent`: microseconds.
+
+    `late_cause` is the cause to count if it starts late, and empty once it has started or ended.
+    """
 
     server: int
     sent: int
@@ -20,16 +23,16 @@
 
 
 class LateStartCounter:
-    """Judges each attempt as it is sent and counts it if it starts late."""
+    """Notes the likely cause when an attempt is sent, and counts it if the attempt starts late."""
 
-    def __init__(self, view: Balancer, counters: Counters) -> None:
-        """`view`: read, never changed."""
-        self._view, self._counters = view, counters
+    def __init__(self, balancer: Balancer, counters: Counters) -> None:
+        """`balancer`: only read, never changed."""
+        self._balancer, self._counters = balancer, counters
 
     def sent(self, attempt: SentAttempt) -> None:
-        """Called as the module sends it: its own books have the attempt already."""
-        view = self._view
-        worker = view.workers.get(attempt.server)
+        """The decision module is sending an attempt, which its state already includes."""
+        balancer = self._balancer
+        worker = balancer.workers.get(attempt.server)
         if worker is None:
             attempt.late_cause = "stale"
             return
@@ -40,15 +43,18 @@
                 self._counters.add("sent_cold_over")
         elif not worker.tracked:
             attempt.late_cause = "blind"
-        elif view.busy_share > BUSY_SHARE_HIGH and view.fleet.most_free:  # without sizes it says nothing
+        elif balancer.busy_share > BUSY_SHARE_HIGH and balancer.fleet.most_free:  # meaningless without sizes
             attempt.late_cause = "crowded"
-        elif worker.zone != view.settings.zone:
+        elif worker.zone != balancer.settings.zone:
             attempt.late_cause = "abroad"
         else:
             attempt.late_cause = "stale"
 
     def finished(self, attempt: SentAttempt, aim: int, now: int) -> None:
-        """It has started, or ended without; the first call counts.  `aim`: its class's, microseconds."""
+        """The attempt has started, or ended without a start; only the first call counts.
+
+        `aim`: its class's aim, microseconds; `now`: microseconds.
+        """
         if attempt.late_cause and now - attempt.sent > LATE_START_SHARE * aim:
             self._counters.add("late_" + attempt.late_cause)
         attempt.late_cause = ""
