--- a/tests/test_gone.py
+++ b/tests/test_gone.py
@@ -1,4 +1,4 @@
-"""A client that closes its connection has gone: no attempt of its request begins afterwards."""
+"""No attempt of a request begins after its client has closed the connection."""
 
 from __future__ import annotations
 
@@ -13,38 +13,38 @@
 from tests.wired import Net
 from violetsaddle.interface import KEYED, RequestClass, Settings
 
-RESET = struct.pack("ii", 1, 0)
+LINGER_RESET = struct.pack("ii", 1, 0)  # `struct linger`: closing sends a reset
 NO_CANCELS: dict[str, Any] = {
     "permissions": {**SETTINGS["permissions"], "cancel": False, "dialTimeout": 5_000_000}
 }
 
 
-def leave(line: Line, reset: bool) -> None:
+def close_client(line: Line, reset: bool) -> None:
     if reset:
-        line.sock.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, RESET)
+        line.sock.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, LINGER_RESET)
     line.sock.close()
 
 
-class Gone(Held):
-    def counted(self, *wanted: str) -> None:
-        """Asks for the counters until they hold the texts."""
-        until = time.monotonic() + 20
+class ClientGone(Held):
+    def wait_for_counters(self, *wanted: str) -> None:
+        """Waits until the logged counters contain the texts; fails after 20 s."""
+        give_up_at = time.monotonic() + 20
         while True:
             self.play("node send USR1")
             line = self.log("counters")[0]
             if all(text in line for text in wanted):
                 return
-            self.assertLess(time.monotonic(), until, line)
+            self.assertLess(time.monotonic(), give_up_at, line)
 
-    def stop_node(self) -> None:
+    def pause_node(self) -> None:
         self.program.send_signal(signal.SIGSTOP)
         self.addCleanup(self.program.send_signal, signal.SIGCONT)
 
-    def go_on(self) -> None:
+    def resume_node(self) -> None:
         self.program.send_signal(signal.SIGCONT)
 
-    def test_behind_much_that_was_sent_ahead(self) -> None:
-        # Reading stopped once a client had sent 80 KiB ahead, and with it the sight of its end.
+    def test_a_close_behind_much_pipelined_data_is_seen(self) -> None:
+        # The node stopped reading once a client had sent 80 KiB ahead, so it did not see the close.
         for reset in (False, True):
             with self.subTest(reset=reset):
                 self.start()
@@ -54,13 +54,13 @@
                     s send 202
                     c send RAW POST /api HTTP/1.1 | X: LONG(100000)
                 """)
-                leave(self.line("c"), reset)
-                begun = time.monotonic()
+                close_client(self.line("c"), reset)
+                started = time.monotonic()
                 self.play("s expect DELETE /jobs/a\ns send 204")
-                self.assertLess(time.monotonic() - begun, 2)  # its time is up after five
+                self.assertLess(time.monotonic() - started, 2)  # the request's deadline is 5 s
                 self.end()
 
-    def test_behind_more_than_is_kept(self) -> None:
+    def test_a_close_behind_more_data_than_the_node_keeps_is_seen(self) -> None:
         self.start()
         self.play("""
             c send job a settle
@@ -69,11 +69,11 @@
             c send RAW POST /api HTTP/1.1 | X: LONG(2000000)
             c close
         """)
-        begun = time.monotonic()
+        started = time.monotonic()
         self.play("s expect DELETE /jobs/a")
-        self.assertLess(time.monotonic() - begun, 2)
+        self.assertLess(time.monotonic() - started, 2)
 
-    def test_what_is_beyond_all_bounds_gets_its_answer_once_the_first_has_its_own(self) -> None:
+    def test_an_oversized_pipelined_request_is_answered_after_the_first_one(self) -> None:
         self.start()
         self.play("""
             c send job a settle
@@ -85,28 +85,30 @@
             c expect 431
         """)
 
-    def all_read(self, name: str) -> None:
-        """Waits until the node has read all that was sent on a connection, as the kernel's table tells."""
-        mine, until = self.line(name).sock.getsockname()[1], time.monotonic() + PATIENCE
+    def wait_until_read(self, name: str) -> None:
+        """Waits until the node has read all data of a connection, according to the kernel's table."""
+        client_port, give_up_at = self.line(name).sock.getsockname()[1], time.monotonic() + PATIENCE
         while True:
             queued = 0
             with open("/proc/net/tcp", encoding="ascii") as table:
                 for line in list(table)[1:]:
-                    _, here, there, _, queues, *_ = line.split()
-                    ports = int(here.rpartition(":")[2], 16), int(there.rpartition(":")[2], 16)
+                    _, local, remote, _, queues, *_ = line.split()
+                    ports = int(local.rpartition(":")[2], 16), int(remote.rpartition(":")[2], 16)
                     unsent, unread = (int(size, 16) for size in queues.split(":"))
-                    queued += unsent * (ports == (mine, self.port)) + unread * (ports == (self.port, mine))
+                    queued += unsent * (ports == (client_port, self.port)) + unread * (
+                        ports == (self.port, client_port)
+                    )
             if not queued:
                 return
-            self.assertLess(time.monotonic(), until, f"{queued} bytes wait still")
+            self.assertLess(time.monotonic(), give_up_at, f"{queued} bytes are still not read")
             time.sleep(0.01)
 
-    def test_whole_requests_beyond_what_is_kept_get_an_answer_too(self) -> None:
+    def test_complete_requests_beyond_the_kept_data_are_answered_too(self) -> None:
         self.start()
-        ahead = "GET /up HTTP/1.1\\r\\nHost: n\\r\\nX: LONG(99)\\r\\n\\r\\n"
-        self.play("c send job a settle\ns expect X-Txn: a\ns send 202\nc send RAW " + ahead * 10_000)
-        # The callback once overtook what was ahead: then nothing was beyond the bound, and all were served.
-        self.all_read("c")
+        pipelined = "GET /up HTTP/1.1\\r\\nHost: n\\r\\nX: LONG(99)\\r\\n\\r\\n"
+        self.play("c send job a settle\ns expect X-Txn: a\ns send 202\nc send RAW " + pipelined * 10_000)
+        # If the callback arrives before this data, nothing exceeds the bound and all requests are served.
+        self.wait_until_read("c")
         self.play("s call+ a done result=kept\nc expect 200 | kept")
         served = 0
         while "200 OK" in (answer := self.line("c").message()):
@@ -114,74 +116,76 @@
         self.assertIn(" 413 ", answer)
         self.assertGreater(served, 1500)
 
-    def test_while_a_connection_is_made_and_cancels_are_not_allowed(self) -> None:
-        # The dial went on, and what had been asked left on it.
+    def test_a_close_while_connecting_without_permission_to_cancel(self) -> None:
+        # The connection attempt continued, and the job was sent on it.
         self.start(NO_CANCELS, servers=1)
-        free = self.crowd_dials("s-1")
+        unblock = self.crowd_dials("s-1")
         self.play("c send job a settle")
-        self.counted("attempts=1")
+        self.wait_for_counters("attempts=1")
         self.play("c close")
-        self.counted("clients_gone=1", "outcome_moot=1", "held_servers=0")
-        free()
+        self.wait_for_counters("clients_gone=1", "outcome_moot=1", "held_servers=0")
+        unblock()
         self.play("c2 send job b settle\ns expect POST /api | X-Txn: b")
 
-    def test_who_left_before_the_node_read_is_not_served(self) -> None:
-        # A burst that came and went while the node was busy was sent on, request by request.
+    def test_requests_whose_clients_left_before_the_node_read_them_are_not_sent(self) -> None:
+        # Clients connected and left while the node was busy; each of their requests was still sent.
         self.start(servers=1)
         self.play("k send GET /up\nk expect 200")
-        self.stop_node()
+        self.pause_node()
         for n in range(200):
             with socket.create_connection(("127.0.0.1", self.port)) as sock:
                 sock.sendall(self.message(f"job b{n} settle"))
-        time.sleep(0.15)  # longer than anybody who has left may still be served
-        self.go_on()
+        time.sleep(0.15)  # longer than a request is sent without a check of its client
+        self.resume_node()
         self.play("c send job last settle\ns expect POST /api | X-Txn: last")
-        self.counted("clients_gone=200", "attempts=1 ", "outcome_moot=200")
+        self.wait_for_counters("clients_gone=200", "attempts=1 ", "outcome_moot=200")
 
-    def test_as_a_held_request_is_due_again(self) -> None:
-        # Deadlines come up before sockets are read: who has closed was sent another attempt.
+    def test_a_close_before_the_retry_of_a_waiting_request(self) -> None:
+        # Timers run before sockets are read, so another attempt was sent for a client that had closed.
         for reset in (False, True):
             with self.subTest(reset=reset):
                 self.start_held("violetsaddle.policy:Balancer._retry_held", servers=3)
-                met: set[str] = set()
-                while len(met) < 3:  # until each has a kept connection: on one a job leaves at once
+                reached: set[str] = set()
+                while (
+                    len(reached) < 3
+                ):  # until each has a reusable connection, on which a job is sent at once
                     for n in range(3):
                         job = f"k{n}-{len(self.took)}"
                         self.play(f"k{n} send job {job} quote\ns expect X-Txn: {job}\ns send 202")
-                        met.add(self.heard[-1].name)
+                        reached.add(self.heard[-1].name)
                     for n, job in enumerate(list(self.took)[-3:]):
                         self.play(f"of-{job} call+ {job} done result=x\nk{n} expect 200")
-                time.sleep(1.1)  # no answer of these is to be feared any more, second or late
+                time.sleep(1.1)  # no second or late answer to these can arrive any more
                 self.play("c send job a quote" + "\ns expect X-Txn: a\ns send 503 | X-Turned-Away: 1" * 2)
                 stopped = self.at("violetsaddle.policy:Balancer._retry_held")
-                leave(self.line("c"), reset)
+                close_client(self.line("c"), reset)
                 self.go(stopped)
                 self.play("c2 send job b settle\ns expect POST /api | X-Txn: b")
                 self.end()
 
-    def test_as_its_second_attempt_is_sent(self) -> None:
+    def test_a_close_before_the_second_attempt(self) -> None:
         self.start_held("violetsaddle.policy:Balancer._retry", servers=2)
         self.play("c send job a settle\ns expect X-Txn: a\ns send 503 | X-Turned-Away: 1")
         stopped = self.at("violetsaddle.policy:Balancer._retry")
         self.play("c close")
         self.go(stopped)
-        self.counted("clients_gone=1", "outcome_moot=1", "attempts=1 ")
+        self.wait_for_counters("clients_gone=1", "outcome_moot=1", "attempts=1 ")
         self.play("c2 send job b settle\ns expect POST /api | X-Txn: b")
 
 
-class Plain(Scenario):
-    def test_one_that_only_waits_is_served(self) -> None:
+class ClientWaiting(Scenario):
+    def test_a_client_that_waits_is_served(self) -> None:
         self.start()
         self.play("c send job a settle\ns expect X-Txn: a\ns send 202")
         self.play("s call+ a done result=x\nc expect 200 | x")
 
-    def test_clients_that_send_without_end_keep_nobody_out(self) -> None:
+    def test_a_client_that_sends_without_end_does_not_block_others(self) -> None:
         self.start()
         self.play("f send job a settle\ns expect X-Txn: a\ns send 202")
         flood = self.line("f").sock
         flood.setblocking(False)
-        sent, begun = 0, time.monotonic()
-        while sent < 40_000_000 and time.monotonic() - begun < 3:
+        sent, started = 0, time.monotonic()
+        while sent < 40_000_000 and time.monotonic() - started < 3:
             try:
                 sent += flood.send(b"x" * 262_144)
             except BlockingIOError:
@@ -192,14 +196,14 @@
         self.play("f expect 200 | x")
 
 
-def test_whoever_has_gone_unread_is_asked_at_each_send() -> None:
+def test_an_unread_close_is_checked_before_each_send() -> None:
     spec = RequestClass(aim=200_000, deadline=5_000_000, effect=KEYED, window=4_000_000)
     net = Net(Settings(classes=(spec,), most_attempts=4, connect_timeout=300_000))
     net.listed("snapshot", one=("active", 0, 1), two=("active", 0, 2))
     client = net.ask("a", 0, 4_000_000)
-    client.gone = True  # its end lies in the kernel unread
+    client.gone = True  # the kernel has the close, but the node has not read it
     net.clock.advance(0.1)
     net.wires[0].up()
-    assert net.wires[0].pending == b"", "it was sent all the same"
+    assert net.wires[0].pending == b"", "the attempt was sent although its client had gone"
     assert net.counters.get("clients_gone") == 1
     assert not net.faults
