--- a/violetsaddle/net/requests.py
+++ b/violetsaddle/net/requests.py
@@ -248,7 +248,7 @@
         self.shutting_down = False  # new requests must be answered by `shutdown_deadline`
         self.shutdown_deadline = 0  # microseconds
         self.peer_sender: PeerSender | None = None  # None: no peers, or none can be reached
-        self._finished_ids: OrderedDict[str, None] = OrderedDict()  # the latest last
+        self._finished_ids: OrderedDict[str, None] = OrderedDict()  # ids of ended requests, the latest last
         self.when_idle: Callable[[], None] | None = None  # called when the last request has ended
         self.open_elsewhere: set[str] = set()  # ids that are open in another process of this node
         # Called with each id when its request is accepted (False) and when it has ended (True).
@@ -398,8 +398,8 @@
     def check_deadlines(self, attempt: Attempt) -> bool:
         """Whether an unsent attempt may still be sent, called just before the first byte is sent.
 
-        Ends the attempt if a deadline has passed.  The timers are not enough: after a pause of the process,
-        sockets are served before timers.
+        Ends the attempt if a deadline has passed.  The timers are not enough: after a pause, the node may
+        serve its sockets before its timers.
         """
         now = self._deadlines.now()
         if attempt.send_deadline is not None and now >= attempt.send_deadline.at:
@@ -467,7 +467,7 @@
         return [*self._finished_ids, *self._by_job][-self._limits.remembered :]
 
     def remember_ids(self, ids: Sequence[str]) -> None:
-        """Adds ids of requests that another process of the node accepted, the latest last."""
+        """Adds ids of requests that another process of the node accepted earlier, the latest last."""
         for job in ids[-self._limits.remembered :]:
             if len(job) <= self._limits.identity:
                 self._finished_ids[job] = None
