--- a/tests/test_snapshots.py
+++ b/tests/test_snapshots.py
@@ -227,12 +227,12 @@
         self.advance(1.5)
         done: list[bool] = []
         keeper.close(lambda: done.append(True))
-        self.node.requests.remember(["late"])
+        self.node.requests.remember_ids(["late"])
         self.disk.finish()
         self.assertFalse(done)  # that snapshot was made before the last request ended
         self.disk.finish()
         self.assertEqual((done, self.disk.pending), ([True], []))
-        self.assertEqual(self.make().requests.ids(), ["late"])
+        self.assertEqual(self.make().requests.known_ids(), ["late"])
 
     def test_a_keeper_that_has_left_does_not_write(self) -> None:
         keeper: Any = self.node.keeper
--- a/violetsaddle/net/warmth.py
+++ b/violetsaddle/net/warmth.py
@@ -72,9 +72,9 @@
         """Returns what the node has learned so far, as bytes that `recall` takes."""
         node, server_list = self._node, self._server_list
         unix = node.clock.unix()
-        state = node.requests.consult(
+        state = node.requests.with_balancer(
             lambda balancer, now: memory.collect(
-                balancer, now, unix, node.requests.ids(), server_list.full_answer()
+                balancer, now, unix, node.requests.known_ids(), server_list.full_answer()
             )
         )
         state.source = server_list.source
@@ -97,14 +97,14 @@
             node.counters.say(f"snapshot: not used: {error}"[:300])
         except Exception as error:  # a fault of the program must not keep the node from starting
             node.counters.fault("snapshot: not used", error)
-        self._initial_slots = node.requests.consult(lambda balancer, _: float(balancer.fleet.slots))
+        self._initial_slots = node.requests.with_balancer(lambda balancer, _: float(balancer.fleet.slots))
         if self._disk is not None:
             self._schedule_write()
 
     def _adopt_snapshot(self, state: LearnedState) -> None:
         node, unix = self._node, self._node.clock.unix()
         # Ids are facts, not estimates: they hold at any age and whatever the clocks say.
-        node.requests.remember(state.ids)
+        node.requests.remember_ids(state.ids)
         age = memory.age_of(state, node.deadlines.now(), unix)
         host, port = node.config.discovery
         listing = memory.newer_listing(state, node.config.known, f"{host}:{port}", age, self._max_age)
@@ -114,7 +114,7 @@
             except BadListError as error:
                 listing = None
                 node.counters.say(f"snapshot: its server list is not valid: {error}"[:300])
-        adopted = self._adopted = node.requests.consult(
+        adopted = self._adopted = node.requests.with_balancer(
             lambda balancer, now: memory.adopt(balancer, state, now, unix, self._max_age)
         )
         ids = f"{len(state.ids)} ids" + (f", list {listing['version']}" if listing is not None else "")
@@ -239,7 +239,7 @@
 
     def _adopt_answers(self, query: warmth.WarmStartQuery) -> None:
         node = self._node
-        adopted: Adopted = node.requests.consult(
+        adopted: Adopted = node.requests.with_balancer(
             lambda balancer, now: warmth.adopt(
                 balancer,
                 query.finish(now),
@@ -266,7 +266,7 @@
         if responder is None or peers is None:
             return True
         if data[1] == warmth.QUESTION:
-            answers: list[bytes] = node.requests.consult(
+            answers: list[bytes] = node.requests.with_balancer(
                 lambda balancer, now: responder.answer(balancer, now, origin, data)
             )
             for answer in answers:
