--- a/violetsaddle/lab/sim/node.py
+++ b/violetsaddle/lab/sim/node.py
@@ -333,7 +333,7 @@
             return
         held = holdings(node)
         edge = node.edge.shared.connections
-        calls_back = sum(1 for c in edge if c.calls_back and (not alone or orphaned(c.transport)))
+        calls_back = sum(1 for c in edge if c.sends_callbacks and (not alone or orphaned(c.transport)))
         get = node.counters.get
         kept = int(self._ground.restart is not None)
         probes = get("probes") - get("probes_ok") - get("probes_failed")
--- a/violetsaddle/net/edge.py
+++ b/violetsaddle/net/edge.py
@@ -1,4 +1,4 @@
-"""The edge: clients' connections at the node's address, and real servers' callbacks at the same one."""
+"""Serves the node's listening address: client requests, and the callbacks of real servers."""
 
 from __future__ import annotations
 
@@ -22,93 +22,99 @@
 from violetsaddle.net.slots import SlotTable
 from violetsaddle.net.transports import end_writing, peek, unread_for, unsent
 
-FOREVER = 1 << 62
-NOT_PASSED_ON = http.HOP_BY_HOP | {"x-remaining"}
+FOREVER = 1 << 62  # microseconds
+NOT_FORWARDED = http.HOP_BY_HOP | {"x-remaining"}
 
 
 class HttpOrder:
-    """A client's request as real servers get it; a copy, for several attempts may need it."""
+    """The message that an attempt sends to a real server, copied from the client's request.
+
+    The copy outlives the connection's buffer, because a request may need several attempts."""
 
     __slots__ = ("_head", "_body")
 
     def __init__(self, message: http.Message) -> None:
-        """Copies what is to be passed on of a message whose buffer goes away."""
-        # What is passed on is copied in one go, for it must outlive its buffer; the lengths are our own.
+        """Copies the forwarded header lines and the body of `message`."""
+        # The header lines are copied in one step.  Content-Length is written anew.
         self._body = bytes(message.body)
         self._head = (
             f"{message.start[0]} {message.start[1]} HTTP/1.1\r\n".encode("ascii")
-            + message.lines(NOT_PASSED_ON)
+            + message.lines(NOT_FORWARDED)
             + b"Content-Length: %d\r\n" % len(self._body)
         )
 
     def message(self, host: str, wait: int) -> Sequence[bytes]:
-        """As `requests.Order.message`; `wait` is told as 1 at least."""
+        """As `requests.Order.message`; X-Remaining is at least 1 microsecond."""
         return self._head, f"Host: {host}\r\nX-Remaining: {max(1, wait)}u\r\n\r\n".encode("ascii"), self._body
 
 
 @dataclass(frozen=True)
 class Shared:
-    """What every edge connection works with."""
+    """The objects that all edge connections of a node share."""
 
     requests: Requests
     limits: Limits
     deadlines: Deadlines
     counters: Counters
     report: Callable[[object], api.Report | None]
-    behind: Callable[[], int] = lambda: FOREVER  # how long something may lie unread (`Reactor.behind`)
+    behind: Callable[[], int] = lambda: (
+        FOREVER
+    )  # longest time that data may have been unread (`Reactor.behind`)
     connections: SlotTable[EdgeConnection] = field(default_factory=SlotTable)
 
 
 class EdgeConnection(Protocol):
-    """One client's (or calling real server's) connection; it carries one request at a time."""
+    """A connection accepted from a client or from a real server that sends callbacks.
+
+    It processes one request at a time."""
 
     transport: Transport
 
-    def __init__(self, shared: Shared, home: EdgeFactory, spare: bool = False) -> None:
-        """`spare`: beyond the limit, for real servers' calls alone; a request is turned down there."""
-        self._shared, self._home, self._spare = shared, home, spare
+    def __init__(self, shared: Shared, factory: EdgeFactory, callbacks_only: bool = False) -> None:
+        """`callbacks_only`: the connection is beyond the limit: a request on it gets a 429."""
+        self._shared, self._factory, self._callbacks_only = shared, factory, callbacks_only
         self._parser = http.Parser(shared.limits, shared.limits.body)
-        self._late = 0  # microseconds for which what was read last had lain unread
-        self._waiting: Arrivals | None = None  # of bytes read before what is taken now
+        self._read_delay = 0  # microseconds that the last bytes read had been in the kernel's buffer
+        self._arrivals: Arrivals | None = None  # of the bytes that wait in the parser
         self.number = -1
         self._request = -1
-        self._awaited = False  # a request's final answer is still to come
-        self._closing = False  # the answer written last says so
-        self._close_next = home.closing  # the present request is the last one
-        self._continued = False
+        self._answer_pending = False  # the current request has no final answer yet
+        self._closing = False  # the last answer has been written, or the connection is being closed
+        self._close_after_answer = factory.closing
+        self._continued = False  # 100 Continue was sent for the current message
         self._lost = False
-        self._spilt = False  # too much was sent ahead: the rest is passed over
-        self._ahead = 0  # bytes kept that came ahead
-        self._passed = 0  # bytes passed over
-        self._stuck = -1  # bytes not taken by the kernel yet, when last looked at
-        self._reading = False
-        self.calls_back = False  # a real server's
-        self._first = True  # no message has come whole
-        self._early = True  # none but the first has
-        self._since = 0
-        self._unread_since: int | None = None  # the first bytes may have lain unread since then
-        self._patience: Patience | None = None  # None: not connected yet
+        self._overflowed = False  # the client pipelined too many bytes; the rest is discarded
+        self._pipelined_bytes = 0  # bytes kept that came before the current request was answered
+        self._discarded_bytes = 0
+        self._last_unsent = -1  # bytes that the kernel had not taken at the last check
+        self._parsing = False
+        self.sends_callbacks = False  # the other side is a real server
+        self._no_message_yet = True  # no complete message has been parsed
+        self._at_most_one_message = True  # at most the first message has been parsed
+        self._wait_started = 0
+        self._unread_since: int | None = None  # earliest time at which the first bytes may have arrived
+        self._timeout: Patience | None = None  # None: not connected yet
 
     @property
     def idle(self) -> bool:
-        """It owes no answer, holds no part of a message and is not being closed."""
-        return not self._awaited and not self._parser.held and not self._closing
+        """No answer is pending, no part of a message is buffered, and the connection is not being closed."""
+        return not self._answer_pending and not self._parser.held and not self._closing
 
     @property
     def ending(self) -> bool:
-        """Our side is shut, or is as soon as what was written has gone out."""
+        """The write side is closed, or will be once the written data has been sent."""
         return self._closing
 
     @property
     def silent(self) -> bool:
-        """Nothing has come, nor waits to be read: a request may lie there that we were too busy to see."""
-        return self._first and not self._parser.held and not self._closing and not self._unread()
+        """The client has sent nothing, also no bytes that are still unread in the kernel's buffer."""
+        return self._no_message_yet and not self._parser.held and not self._closing and not self._has_unread()
 
-    def _unread(self) -> bool:
+    def _has_unread(self) -> bool:
         return bool(peek(self.transport))
 
-    def _unread_for(self) -> int:
-        """Microseconds for which what was read just now has lain unread, where this node was held up."""
+    def _measure_read_delay(self) -> int:
+        """Returns the microseconds for which the bytes just read were unread; 0 if the node was not late."""
         behind = self._shared.behind()
         if self._unread_since is not None:
             behind = max(behind, self._shared.deadlines.now() - self._unread_since)
@@ -117,31 +123,31 @@
 
     def left(self) -> bool:
         """As `requests.Client.left`."""
-        # Asked of the kernel only where its end may lie there for long: a request that came first on its
-        # connection may have waited for us to accept it.
-        return (self._early or self._shared.behind() > self._shared.limits.unseen) and peek(
+        # The system call is made only where the client's FIN may have been unread for long.  The first
+        # request counts as such, because its connection may have waited in the accept backlog.
+        return (self._at_most_one_message or self._shared.behind() > self._shared.limits.unseen) and peek(
             self.transport
         ) == b""
 
-    def gives_way(self, now: int) -> tuple[int, int] | None:
-        """Its place among those that make room at the limit, the lowest first; None: not to be closed."""
-        # Not a real server's: at the limit it could not come back to tell how a request ends.
-        if self.calls_back or self._awaited or (self._parser.held and not self._closing):
+    def eviction_rank(self, now: int) -> tuple[int, int] | None:
+        """Returns the sort key for eviction at the connection limit, lowest first; None: never evicted."""
+        # A real server keeps its connection: at the limit it could not connect again to report an outcome.
+        if self.sends_callbacks or self._answer_pending or (self._parser.held and not self._closing):
             return None
-        settled = now - self._since >= self._shared.limits.edge_settled
+        settled = now - self._wait_started >= self._shared.limits.edge_settled
         if self._closing:
-            # Its answer is out; only what is not wanted is still to come, once the client had time to read.
-            return (0 if settled else 4), self._since
-        if not self._first:
-            return 2, self._since
-        return (1 if settled else 3), self._since
-
-    def make_room(self) -> bool:
-        """Closes, unless something has come meanwhile."""
+            # The answer is written.  Once the client had time to read it, only unwanted data can follow.
+            return (0 if settled else 4), self._wait_started
+        if not self._no_message_yet:
+            return 2, self._wait_started
+        return (1 if settled else 3), self._wait_started
+
+    def evict(self) -> bool:
+        """Closes the connection and returns True, unless unread data has arrived meanwhile."""
         if self._closing:
             self._abort()
             return True
-        if self._unread():
+        if self._has_unread():
             return False
         self._close_idle()
         return True
@@ -152,174 +158,177 @@
         number = self.number = self._shared.connections.put(self)
         connections = self._shared.connections
 
-        def due() -> None:
+        def on_timeout() -> None:
             connection = connections.get(number)
             if connection is not None:
                 connection.timed_out()
 
-        self._patience = Patience(self._shared.deadlines, due)
+        self._timeout = Patience(self._shared.deadlines, on_timeout)
         behind = self._shared.behind()
         if behind > self._shared.limits.unseen:
             self._unread_since = self._shared.deadlines.now() - behind
         self._shared.counters.add("edge_connections")
-        self._wait(self._shared.limits.edge_first)
+        self._start_timeout(self._shared.limits.edge_first)
 
     def connectionLost(self, reason: Reason = connectionDone) -> None:
-        """Twisted: the connection has ended; a request that was open has lost its client."""
+        """Twisted: the connection has ended; an open request has lost its client."""
         self._lost = True
-        if self._patience is not None:
-            self._patience.end()
-        self._count_ahead(0)
+        if self._timeout is not None:
+            self._timeout.end()
+        self._set_pipelined_bytes(0)
         self._shared.connections.free(self.number)
-        if self._awaited:
-            self._awaited = False
+        if self._answer_pending:
+            self._answer_pending = False
             self._shared.requests.leave(self._request)
-        self._home.gone()
+        self._factory.connection_ended()
 
     def call_failed(self, call: str, error: str) -> None:
-        """A system call on it failed; `error`: its symbol."""
-        if error == "ECONNRESET" and not self._awaited:
-            return  # a client that has gone
-        job = self._shared.requests.job_of(self._request) if self._awaited else "-"
+        """Logs a failed system call of this connection; `error`: the symbol, as `ETIMEDOUT`."""
+        if error == "ECONNRESET" and not self._answer_pending:
+            return  # the client has disconnected
+        job = self._shared.requests.job_of(self._request) if self._answer_pending else "-"
         self._shared.requests.audit.call_failed(call, error, client="-", request=job)
 
-    def _wait(self, time: int) -> None:
-        self._since = self._shared.deadlines.now()
-        if self._patience is not None and not self._lost:
-            self._patience.set(time)
+    def _start_timeout(self, time: int) -> None:
+        self._wait_started = self._shared.deadlines.now()
+        if self._timeout is not None and not self._lost:
+            self._timeout.set(time)
 
-    def _rest(self) -> None:
-        """Nothing is waited for but a request's answer."""
-        if self._patience is not None:
-            self._patience.rest()
+    def _stop_timeout(self) -> None:
+        """Stops the timeout while a request is processed: its own deadline applies."""
+        if self._timeout is not None:
+            self._timeout.rest()
 
     def timed_out(self) -> None:
-        """The time for what is waited for is up: a message's rest, the next one, or the client's end."""
+        """Handles a timeout: of an incomplete message, of an idle connection, or of the client's close."""
         if self._closing:
-            self._part()
+            self._close_timed_out()
         elif self._parser.held:
             self._answer(408, close=True)
-        elif self._unread():
-            self._wait(self._shared.limits.edge_settled)  # what has come is read first
+        elif self._has_unread():
+            self._start_timeout(self._shared.limits.edge_settled)  # the unread data is processed first
         else:
             self._close_idle()
 
     def _close_idle(self) -> None:
-        """Closes at once: there is no answer to guard, and what crosses it stays unread, so that the client
-        sends it again."""
+        """Closes at once: no answer can be lost.  A request that crosses the close stays unread, so that the
+        client sends it again."""
         self._closing = True
         end_writing(self.transport)
         self.transport.loseConnection()
-        self._wait(self._shared.limits.edge_read)
+        self._start_timeout(self._shared.limits.edge_read)
 
     def end(self) -> None:
-        """Shuts our side once what was written has gone out; the client then ends the connection.
+        """Closes the write side once the written data has been sent; the client then closes the connection.
 
-        Guards against a reset that overtakes the answer, as a close over unread bytes brings one: what still
-        comes is read and passed over, until the client has ended its side or its time is up."""
+        A close with unread data would send a reset, which could overtake the answer.  So incoming data is
+        read and discarded until the client closes its side or the timeout ends."""
         self._closing = True
         self.transport.loseWriteConnection()
-        self._wait(self._shared.limits.drain)
+        self._start_timeout(self._shared.limits.drain)
 
-    def _part(self) -> None:
-        """The time for the other side's end is up."""
+    def _close_timed_out(self) -> None:
+        """The client has not closed its side in time."""
         left = unsent(self.transport)
         if not left:
-            self.transport.loseConnection()  # what the kernel holds still goes out
-        elif left != self._stuck:
-            self._stuck = left  # a client that reads slowly gets its answer
-            self._wait(self._shared.limits.edge_read)
+            self.transport.loseConnection()  # the kernel still sends what it has taken
+        elif left != self._last_unsent:
+            self._last_unsent = left  # a client that reads slowly gets its whole answer
+            self._start_timeout(self._shared.limits.edge_read)
         else:
-            self._abort()  # one that does not read holds its connection no longer
+            self._abort()  # a client that does not read may not occupy a connection
+
+    def close_after_answer(self) -> None:
+        """Closes the connection with the next answer."""
+        self._close_after_answer = True
 
-    def close_next(self) -> None:
-        """The next answer is its last."""
-        self._close_next = True
+    def close_soon(self, incomplete_too: bool = False) -> None:
+        """Closes an idle connection now and any other with its answer.
 
-    def close_soon(self, unread_too: bool = False) -> None:
-        """An idle one closes now, another with its answer; `unread_too`: also one whose request has not
-        come whole."""
-        self._close_next = True
-        if self._awaited or self._closing:
+        `incomplete_too`: also closes a connection now whose request is incomplete."""
+        self._close_after_answer = True
+        if self._answer_pending or self._closing:
             return
-        if unread_too:
+        if incomplete_too:
             self._close_idle()
-        elif self.idle and not self._unread():  # what has come is read and answered first
-            young = self._shared.limits.edge_settled - (self._shared.deadlines.now() - self._since)
-            if self._first and young > 0:
-                self._wait(young)  # it is about to ask
+        elif self.idle and not self._has_unread():  # unread data is read and answered first
+            grace = self._shared.limits.edge_settled - (self._shared.deadlines.now() - self._wait_started)
+            if self._no_message_yet and grace > 0:
+                self._start_timeout(grace)  # a new client is about to send its request
             else:
                 self._close_idle()
 
     def close_unused(self) -> None:
-        """Closes if it is idle.  One on which nothing has come yet is about to ask: it has its time."""
-        if self.idle and not self._first and not self._unread():
+        """Closes an idle connection.  A new one stays open, because its first request is still expected."""
+        if self.idle and not self._no_message_yet and not self._has_unread():
             self._close_idle()
 
-    def dataReceived(self, data: bytes, fresh: bool = False) -> None:
-        """Twisted: bytes have come; `fresh`: they begin a message."""
-        if self._closing or self._spilt:
-            self._pass_over(len(data))
+    def dataReceived(self, data: bytes, starts_message: bool = False) -> None:
+        """Twisted: data was read; `starts_message`: its first byte begins a message."""
+        if self._closing or self._overflowed:
+            self._discard(len(data))
             return
-        fresh = fresh or not self._parser.held
+        starts_message = starts_message or not self._parser.held
         self._parser.feed(data)
-        self._late = self._unread_for()
-        if self._awaited or self._waiting is not None:
-            self._wait_here(len(data))
-        if self._awaited:
-            # A client sends one request at a time; what it sends ahead waits, within bounds, and the rest is
-            # passed over.  Left to the kernel it would hide that the client goes; to close instead would lose
-            # the request whose answer is owed.
-            self._count_ahead(self._parser.held)
+        self._read_delay = self._measure_read_delay()
+        if self._answer_pending or self._arrivals is not None:
+            self._record_arrival(len(data))
+        if self._answer_pending:
+            # Requests are answered one at a time.  Pipelined data is kept up to a limit, and the rest is
+            # discarded.  Data left in the kernel would hide the client's disconnect, and closing the
+            # connection would lose the pending answer.
+            self._set_pipelined_bytes(self._parser.held)
             limits = self._shared.limits
-            self._spilt = self._ahead > limits.edge_ahead or self._home.ahead > limits.edge_ahead_all
+            self._overflowed = (
+                self._pipelined_bytes > limits.edge_ahead
+                or self._factory.pipelined_bytes > limits.edge_ahead_all
+            )
         else:
-            self._take_in(fresh)
-
-    def _count_ahead(self, size: int) -> None:
-        self._home.ahead += size - self._ahead
-        self._ahead = size
-
-    def _take_in(self, fresh: bool) -> None:
-        if self._ahead:
-            self._count_ahead(0)
-        # Guards against a mix-up: an answer given at once must not take in the next request before the
-        # present one's number is noted, or a client that goes would end the wrong request.
-        if self._reading:
+            self._process_buffer(starts_message)
+
+    def _set_pipelined_bytes(self, size: int) -> None:
+        self._factory.pipelined_bytes += size - self._pipelined_bytes
+        self._pipelined_bytes = size
+
+    def _process_buffer(self, starts_message: bool) -> None:
+        if self._pipelined_bytes:
+            self._set_pipelined_bytes(0)
+        # Prevents re-entry: an immediate answer must not start the next request before `_request` is set,
+        # or a client's disconnect would cancel the wrong request.
+        if self._parsing:
             return
-        self._reading = True
+        self._parsing = True
         try:
-            self._read_all(fresh)
+            self._process_messages(starts_message)
         except http.MalformedError as error:
-            self._refused(error)
+            self._reject_malformed(error)
         except Exception as error:
             self._shared.counters.fault("an edge connection failed", error)
-            if self._awaited:
+            if self._answer_pending:
                 self._shared.requests.closed_unanswered(self._request, type(error).__name__)
             self._abort()
         finally:
-            self._reading = False
+            self._parsing = False
 
-    def _pass_over(self, size: int) -> None:
-        """Guards against a client that sends without end: beyond what it may have had under way as it left,
-        it is read from now and then."""
-        self._passed += size
-        if self._passed > self._shared.limits.edge_passed:
+    def _discard(self, size: int) -> None:
+        """Limits the read rate once a client has sent more than could have been in transit as it left."""
+        self._discarded_bytes += size
+        if self._discarded_bytes > self._shared.limits.edge_passed:
             number, connections = self.number, self._shared.connections
             self.transport.pauseProducing()
 
-            def again() -> None:
+            def resume() -> None:
                 connection = connections.get(number)
                 if connection is not None:
                     connection.transport.resumeProducing()
 
-            self._shared.deadlines.after(self._shared.limits.edge_pause, again)
+            self._shared.deadlines.after(self._shared.limits.edge_pause, resume)
 
-    def _refused(self, error: http.MalformedError) -> None:
+    def _reject_malformed(self, error: http.MalformedError) -> None:
         self._shared.counters.add("bad_messages")
-        if self._awaited:
+        if self._answer_pending:
             self._shared.requests.closed_unanswered(self._request, error.text)
-            self._abort()  # the answer owed can't be given in its turn any more
+            self._abort()  # the pending answer can no longer be sent in order
             return
         self._answer(error.status, error.text.encode(), close=True)
 
@@ -327,58 +336,64 @@
         self._closing = True
         self.transport.abortConnection()
 
-    def _read_all(self, fresh: bool) -> None:
-        while not self._awaited and not self._closing:
+    def _process_messages(self, starts_message: bool) -> None:
+        while not self._answer_pending and not self._closing:
             message = self._parser.next()
             if message is None:
-                if self._spilt:
+                if self._overflowed:
                     raise http.MalformedError(413, "too much was sent ahead")
-                # The first message's time counts from the connection's start: else silence would double it.
-                if self._parser.held and fresh and not self._first:
-                    self._wait(self._shared.limits.edge_read)
+                # The first message's timeout runs from the start of the connection.  Started again here, a
+                # client that stays silent at first would get twice the time.
+                if self._parser.held and starts_message and not self._no_message_yet:
+                    self._start_timeout(self._shared.limits.edge_read)
                 if self._parser.wants_continue and not self._continued:
                     self._continued = True
                     self.transport.write(http.CONTINUE)
                 return
-            self._early, self._continued, fresh, self._first = self._first, False, True, False
-            self._close_next = self._close_next or not message.keeps_alive
-            waited = self._late if self._waiting is None else self._waited()
-            if self._parser.held and self._waiting is None:
-                self._wait_here(self._parser.held)
-            self._take(message, waited)
-
-    def _wait_here(self, size: int) -> None:
-        """So many bytes that were read last may wait for the end of the present request."""
-        if self._waiting is None:
-            self._waiting = Arrivals()
-        self._waiting.came(size, self._shared.deadlines.now() - self._late)
-
-    def _waited(self) -> int:
-        """Microseconds since the last byte of the message came that was taken just now."""
-        assert self._waiting is not None
-        came = self._waiting.of_message(self._parser.held)
+            self._at_most_one_message, self._continued, starts_message, self._no_message_yet = (
+                self._no_message_yet,
+                False,
+                True,
+                False,
+            )
+            self._close_after_answer = self._close_after_answer or not message.keeps_alive
+            waited = self._read_delay if self._arrivals is None else self._time_buffered()
+            if self._parser.held and self._arrivals is None:
+                self._record_arrival(self._parser.held)
+            self._route(message, waited)
+
+    def _record_arrival(self, size: int) -> None:
+        """Records the arrival time of the `size` bytes read last: they may wait for the current request."""
+        if self._arrivals is None:
+            self._arrivals = Arrivals()
+        self._arrivals.came(size, self._shared.deadlines.now() - self._read_delay)
+
+    def _time_buffered(self) -> int:
+        """Returns the microseconds since the last byte of the message just parsed arrived."""
+        assert self._arrivals is not None
+        came = self._arrivals.of_message(self._parser.held)
         if not self._parser.held:
-            self._waiting = None
+            self._arrivals = None
         return self._shared.deadlines.now() - came
 
-    def _take(self, message: http.Message, waited: int) -> None:
+    def _route(self, message: http.Message, waited: int) -> None:
         path, _, query = message.start[1].partition("?")
-        wanted = {"/api": "POST", "/callback": "POST", "/up": "GET"}.get(path)
-        if wanted is None:
+        method = {"/api": "POST", "/callback": "POST", "/up": "GET"}.get(path)
+        if method is None:
             self._answer(404)
-        elif message.start[0] != wanted:
-            self._answer(405, headers=f"Allow: {wanted}\r\n")
+        elif message.start[0] != method:
+            self._answer(405, headers=f"Allow: {method}\r\n")
         elif path == "/up":
             self._answer(200, b"ready")
-        elif path == "/api" and self._spare:
-            self._answer(429, close=True)  # it was not sent on: to come again is harmless
+        elif path == "/api" and self._callbacks_only:
+            self._answer(429, close=True)  # nothing was sent to a real server: the client may safely retry
         elif path == "/callback":
-            self.calls_back = True
-            self._call(message)
+            self.sends_callbacks = True
+            self._handle_callback(message)
         else:
-            self._ask(message, query, waited)
+            self._handle_request(message, query, waited)
 
-    def _ask(self, message: http.Message, query: str, waited: int) -> None:
+    def _handle_request(self, message: http.Message, query: str, waited: int) -> None:
         limits = self._shared.limits
         try:
             job, cls = message.header("x-txn") or "", message.header("x-lane")
@@ -387,12 +402,12 @@
             time = remaining(message.header("x-remaining"))
             if waited > limits.unseen and time > 0:
                 time = max(1, time - waited)
-                self._shared.counters.add("requests_waited")  # unread, or behind others of their connection
+                self._shared.counters.add("requests_waited")  # in the kernel, or behind earlier requests
             slots = labelled(message.header("x-labels"), "slots", 1.0)
             if cls is None:
                 raise UnfitError("X-Lane is missing")
-            self._awaited = True
-            self._rest()
+            self._answer_pending = True
+            self._stop_timeout()
             number = self._shared.requests.arrive(
                 job,
                 cls,
@@ -407,11 +422,11 @@
             )
             self._request = number
         except UnfitError as error:
-            self._awaited = False
+            self._answer_pending = False
             self._answer(400, str(error).encode())
 
-    def _call(self, message: http.Message) -> None:
-        """A real server tells what becomes of an attempt."""
+    def _handle_callback(self, message: http.Message) -> None:
+        """Processes a real server's report on an attempt."""
         body = bytes(message.body)
         try:
             call = called(body)
@@ -420,12 +435,12 @@
             self._answer(400, b"not a callback")
             return
         self._shared.counters.add("callbacks")
-        if self._home.pass_on is not None and not self._shared.requests.holds(call["id"]):
-            self._awaited = True
-            self._rest()
-            self._home.pass_on(body, self._final)
+        if self._factory.forward_callback is not None and not self._shared.requests.holds(call["id"]):
+            self._answer_pending = True
+            self._stop_timeout()
+            self._factory.forward_callback(body, self._final)
             return
-        # First the reply: the real server must not call again for what takes us time.
+        # The reply goes out first, so that the real server does not retry while the callback is processed.
         self._answer(204)
         take_call(self._shared, call)
 
@@ -436,77 +451,77 @@
         self._final(200, result)
 
     def turned_down(self, come_back: int, before_sending: bool) -> None:
-        """As `requests.Client.turned_down`: 429 before anything was sent, else 503."""
+        """As `requests.Client.turned_down`: 429 before an attempt was sent, otherwise 503."""
         headers = f"Retry-After: {come_back / SECOND:.6f}\r\n" if come_back > 0 else ""
         self._final(429 if before_sending else 503, headers=headers)
 
     def failed(self, why: Failure) -> None:
-        """As `requests.Client.failed`: 504 if time ran out, else 502."""
+        """As `requests.Client.failed`: 504 if the deadline passed, otherwise 502."""
         self._final(504 if why is Failure.LATE else 502)
 
     def _final(self, status: int, body: bytes = b"", headers: str = "") -> None:
-        if not self._awaited or self._lost:
+        if not self._answer_pending or self._lost:
             return
-        self._awaited, self._request = False, -1
+        self._answer_pending, self._request = False, -1
         self._answer(status, body, headers)
-        if (self._parser.held or self._spilt) and not self._closing:
-            self._take_in(True)
+        if (self._parser.held or self._overflowed) and not self._closing:
+            self._process_buffer(True)
 
     def _answer(self, status: int, body: bytes = b"", headers: str = "", close: bool = False) -> None:
-        close = close or self._close_next or self._home.held
+        close = close or self._close_after_answer or self._factory.at_limit
         self._shared.counters.add(f"answer_{status}")
         self.transport.write(http.answer(status, body, headers, close))
         if close:
             self.end()
         else:
-            self._wait(self._shared.limits.edge_idle)
+            self._start_timeout(self._shared.limits.edge_idle)
 
 
 class EdgeFactory(Factory):
-    """Accepts edge connections up to their limit; at it, idle ones make room."""
+    """Accepts edge connections; at the limit it evicts idle ones."""
 
     noisy = False
 
     def __init__(self, shared: Shared) -> None:
-        """`shared`: what its connections work with; whoever listens sets `hold`."""
+        """`shared`: what the connections share; the owner of the listening port sets `hold`."""
         self.shared = shared
-        self.closing = False  # a new connection's first answer is its last
-        self.hold: Callable[[bool], None] = lambda held: None  # stops and resumes accepting
-        self.held = False  # at the limit and none idle: the next answer given ends its connection
-        self.ahead = 0  # bytes kept that clients have sent ahead, over all connections
-        self.when_empty: Callable[[], None] | None = None
+        self.closing = False  # new connections close with their first answer
+        self.hold: Callable[[bool], None] = lambda held: None  # True pauses accepting, False resumes it
+        self.at_limit = False  # at the limit with no idle connection: the next answer closes its connection
+        self.pipelined_bytes = 0  # over all connections
+        self.when_empty: Callable[[], None] | None = None  # called as the last connection has ended
         self.when_gone: Callable[[], None] | None = None  # called as each connection has ended
-        # Where two processes of this node serve at once: takes a callback on a request that is not open here,
-        # and what to give the status to that the other one answers.
-        self.pass_on: Callable[[bytes, Callable[[int], None]], None] | None = None
+        # Set while two processes of this node serve.  Passes the body of a callback on a request that is not
+        # open here to the other process, and calls the second argument with the status that it answers.
+        self.forward_callback: Callable[[bytes, Callable[[int], None]], None] | None = None
 
     def buildProtocol(self, addr: IAddress | None) -> EdgeConnection:
-        """Twisted: a connection was accepted; at the limit an idle one closes for it."""
-        limits, held = self.shared.limits, len(self.shared.connections) + 1
-        if held >= limits.edge_connections and not self._make_room():
-            # None is idle.  Beyond the limit a few are taken for callbacks, without which no request would
-            # end; then new ones wait in the backlog until one has ended.
-            self.held = True
-            if held >= limits.edge_connections + limits.edge_spare:
+        """Twisted: a connection was accepted; at the limit an idle one is closed for it."""
+        limits, count = self.shared.limits, len(self.shared.connections) + 1
+        if count >= limits.edge_connections and not self._evict_one():
+            # None is idle.  A few connections beyond the limit are accepted for callbacks, without which no
+            # request could end.  Further ones wait in the accept backlog until a connection ends.
+            self.at_limit = True
+            if count >= limits.edge_connections + limits.edge_spare:
                 self.hold(True)
-            return EdgeConnection(self.shared, self, spare=held > limits.edge_connections)
+            return EdgeConnection(self.shared, self, callbacks_only=count > limits.edge_connections)
         return EdgeConnection(self.shared, self)
 
-    def _make_room(self) -> bool:
+    def _evict_one(self) -> bool:
         now = self.shared.deadlines.now()
-        places = [
-            (place, number, c)
+        candidates = [
+            (rank, number, c)
             for number, c in enumerate(self.shared.connections)
-            if (place := c.gives_way(now)) is not None
+            if (rank := c.eviction_rank(now)) is not None
         ]
-        heapify(places)
-        # Where a request lies unread, that connection stays.
-        return any(heappop(places)[2].make_room() for _ in range(len(places)))
-
-    def gone(self) -> None:
-        """A connection has ended."""
-        if self.held:
-            self.held = len(self.shared.connections) >= self.shared.limits.edge_connections
+        heapify(candidates)
+        # A connection with an unread request refuses, and the next one is tried.
+        return any(heappop(candidates)[2].evict() for _ in range(len(candidates)))
+
+    def connection_ended(self) -> None:
+        """Resumes accepting below the limit and calls `when_gone` and `when_empty`."""
+        if self.at_limit:
+            self.at_limit = len(self.shared.connections) >= self.shared.limits.edge_connections
             self.hold(False)
         if self.when_gone is not None:
             self.when_gone()
@@ -514,37 +529,38 @@
             self.when_empty()
 
     @property
-    def owes(self) -> bool:
-        """A client's connection is open on which a request may still be answered."""
-        return any(not c.ending and not c.calls_back for c in self.shared.connections)
+    def has_open_clients(self) -> bool:
+        """Whether a client's connection is open on which a request may still be answered."""
+        return any(not c.ending and not c.sends_callbacks for c in self.shared.connections)
 
-    def announce(self) -> None:
-        """The next answer on a client's connection is its last."""
+    def announce_close(self) -> None:
+        """Makes each client connection close with its next answer."""
         self.closing = True
         for connection in self.shared.connections:
-            if not connection.calls_back:
-                connection.close_next()
+            if not connection.sends_callbacks:
+                connection.close_after_answer()
 
     def hand_over(self) -> None:
-        """Another process takes new connections: each ends with its next answer.  Real servers come back to
-        the other one."""
+        """Makes each connection close with its next answer, because another process accepts new ones.
+
+        Real servers then connect to the other process."""
         self.closing = True
         for connection in self.shared.connections:
-            connection.close_next()
+            connection.close_after_answer()
 
     def close_unused(self) -> None:
-        """Closes idle connections on which something was asked before."""
+        """Closes idle connections that have carried a request."""
         for connection in self.shared.connections:
             connection.close_unused()
 
     def close_soon(self) -> None:
-        """Clients' connections close when idle; real servers still need theirs."""
+        """Closes client connections as they become idle; real servers still need theirs."""
         self.closing = True
         for connection in self.shared.connections:
-            if not connection.calls_back:
+            if not connection.sends_callbacks:
                 connection.close_soon()
 
     def close_all(self) -> None:
-        """Closes every connection that owes no answer; the others close with theirs."""
+        """Closes every connection without a pending answer; the others close with their answer."""
         for connection in self.shared.connections:
-            connection.close_soon(unread_too=True)
+            connection.close_soon(incomplete_too=True)
--- a/violetsaddle/net/node.py
+++ b/violetsaddle/net/node.py
@@ -290,7 +290,7 @@
         """Accepts, reads datagrams and tells peers again after `pause`."""
         self._paused = self.edge.closing = False
         self.requests.when_idle = self.edge.when_empty = None
-        self._hold(self.edge.held)
+        self._hold(self.edge.at_limit)
         if self._peers is not None:
             self._peers.resume()
         self.requests.teller = self._peers
@@ -358,7 +358,7 @@
             self.counters.say("stopping")
             self.requests.last_word = self.deadlines.now() + self.limits.last_word
             self.deadlines.after(self.limits.linger, self._hurry)
-            self.deadlines.after(self.limits.keep_asking, self.edge.announce)
+            self.deadlines.after(self.limits.keep_asking, self.edge.announce_close)
             self.deadlines.after(self.limits.keep_idle, self._close)
 
     def _hurry(self) -> None:
@@ -388,7 +388,7 @@
             self._closing
             and not len(self.requests)
             and not self.guest()
-            and (not self.edge.owes or self.deadlines.now() >= self.requests.last_word)
+            and (not self.edge.has_open_clients or self.deadlines.now() >= self.requests.last_word)
         ):
             self.finish()
 
--- a/violetsaddle/net/upgrade.py
+++ b/violetsaddle/net/upgrade.py
@@ -524,14 +524,14 @@
     def _both(self) -> None:
         """From now on each side tells the other of its requests, and passes on callbacks on others."""
         self._requests.on_id = self._on_id
-        self._node.edge.pass_on = self._pass_on
+        self._node.edge.forward_callback = self._pass_on
 
     def _on_id(self, job: str, over: bool) -> None:
         self._say(Over(job) if over else Took(job))
 
     def _alone(self) -> None:
         """The other side has gone; nothing of its requests is open any more."""
-        self._requests.on_id = self._node.edge.pass_on = None
+        self._requests.on_id = self._node.edge.forward_callback = None
         self._requests.remember(sorted(self._requests.elsewhere))
         self._requests.elsewhere.clear()
         for number, (body, _, _) in list(self._calls.items()):
