--- a/tests/wired.py
+++ b/tests/wired.py
@@ -10,7 +10,7 @@
 from twisted.python.failure import Failure as Reason
 
 from violetsaddle import interface as api
-from violetsaddle.net.callbacks import take_call
+from violetsaddle.net.callbacks import apply_callback
 from violetsaddle.net.connections import ServerConnection
 from violetsaddle.net.counters import Counters
 from violetsaddle.net.deadlines import Deadlines
@@ -203,7 +203,7 @@
         return client
 
     def call(self, job: str, name: str, state: str) -> None:
-        take_call(self.shared, {"id": job, "from": name, "state": state, "result": "r"})
+        apply_callback(self.shared, {"id": job, "from": name, "state": state, "result": "r"})
 
     def live(self) -> list[Wire]:
         return [w for w in self.wires if not w.over]
--- a/violetsaddle/net/arrivals.py
+++ b/violetsaddle/net/arrivals.py
@@ -1,4 +1,4 @@
-"""When the bytes came that a connection's parser holds: a message may wait there for those before it."""
+"""Records when buffered bytes arrived, because a pipelined message may wait behind earlier ones."""
 
 from __future__ import annotations
 
@@ -6,29 +6,33 @@
 
 from violetsaddle.net.limits import MS
 
-STEP = 10 * MS  # bytes that come within such a time count as having come together, so that few times are kept
+ARRIVAL_RESOLUTION = 10 * MS  # bytes that arrive within this time share one entry
 
 
 class Arrivals:
-    """Times of the bytes fed to one parser, up to the last message that it gave."""
+    """Arrival times of the bytes fed to one parser that its messages have not consumed yet."""
 
     __slots__ = ("_fed", "_marks")
 
     def __init__(self) -> None:
-        """Nothing has come."""
+        """Starts with no bytes."""
         self._fed = 0
-        self._marks: deque[tuple[int, int]] = deque()  # bytes fed up to then, and when the first of them came
+        self._marks: deque[tuple[int, int]] = (
+            deque()
+        )  # bytes fed in total, arrival of the first in this entry
 
-    def came(self, size: int, at: int) -> None:
-        """So many bytes were fed; `at`: when they came, microseconds, not before what came earlier."""
+    def record(self, size: int, at: int) -> None:
+        """Records `size` bytes that arrived at `at`, in microseconds, not before the previous ones."""
         self._fed += size
-        if self._marks and at - self._marks[-1][1] < STEP:
+        if self._marks and at - self._marks[-1][1] < ARRIVAL_RESOLUTION:
             at = self._marks.pop()[1]
         self._marks.append((self._fed, at))
 
-    def of_message(self, held: int) -> int:
-        """When the last byte of the message taken just now came; `held`: bytes that wait after it."""
-        taken, marks = self._fed - held, self._marks
-        while marks[0][0] < taken:
+    def last_byte_of_message(self, held: int) -> int:
+        """Returns when the last byte of the message just parsed arrived, in microseconds.
+
+        `held`: number of bytes still buffered after it."""
+        consumed, marks = self._fed - held, self._marks
+        while marks[0][0] < consumed:
             marks.popleft()
         return marks[0][1]
--- a/violetsaddle/net/callbacks.py
+++ b/violetsaddle/net/callbacks.py
@@ -1,4 +1,4 @@
-"""What real servers tell of attempts by `POST /callback`."""
+"""Parses real servers' `POST /callback` bodies and applies what they report about attempts."""
 
 from __future__ import annotations
 
@@ -21,34 +21,38 @@
 }
 
 
-def called(body: bytes) -> dict[str, Any]:
-    """A real server's callback; raises `ValueError` where it is none."""
+def parse_callback(body: bytes) -> dict[str, Any]:
+    """Returns the callback's JSON object, whose `id`, `from` and `state` are strings.
+
+    Other fields are not checked.  Raises `ValueError` if `body` is not a callback."""
     try:
-        call: Any = json.loads(body)
-        job, name, state = call["id"], call["from"], call["state"]
+        callback: Any = json.loads(body)
+        job, name, state = callback["id"], callback["from"], callback["state"]
     except (ValueError, KeyError, TypeError, RecursionError) as error:
         raise ValueError("not a callback") from error
-    if not (isinstance(call, dict) and all(isinstance(text, str) for text in (job, name, state))):
+    if not (isinstance(callback, dict) and all(isinstance(text, str) for text in (job, name, state))):
         raise ValueError("not a callback")
-    return call
+    return callback
+
 
+def apply_callback(shared: Shared, callback: dict[str, Any]) -> None:
+    """Applies a parsed callback to its attempt.
 
-def take_call(shared: Shared, call: dict[str, Any]) -> None:
-    """What a real server tells of an attempt; its reply is out already."""
-    attempt, state = shared.requests.find(call["id"], call["from"]), call["state"]
-    result, word = call.get("result"), STATES.get(call["state"])
-    share = call.get("share") if state == "running" else 0.0
-    if word is None or not isinstance(share, (int, float)) or not 0 <= share <= 1:
+    Its reply has already been sent.  So a bad field or an unknown attempt is only counted."""
+    attempt, state = shared.requests.find(callback["id"], callback["from"]), callback["state"]
+    result, evidence = callback.get("result"), STATES.get(callback["state"])
+    share = callback.get("share") if state == "running" else 0.0
+    if evidence is None or not isinstance(share, (int, float)) or not 0 <= share <= 1:
         shared.counters.add("bad_callbacks")
         return
-    if word is Evidence.DONE and not isinstance(result, str):
-        word = Evidence.FAILED  # it ran, but there is nothing of its own to pass on
+    if evidence is Evidence.DONE and not isinstance(result, str):
+        evidence = Evidence.FAILED  # the job ran, but there is no result to give to the client
     if attempt is None or not shared.requests.word(
         attempt,
-        word,
-        shared.report(call.get("load")),
+        evidence,
+        shared.report(callback.get("load")),
         result.encode("utf-8", "surrogatepass") if isinstance(result, str) else None,
     ):
         shared.counters.add("callbacks_unmatched")
-    elif word is Evidence.STARTED:
+    elif evidence is Evidence.STARTED:
         shared.requests.noted(attempt, api.PROGRESS if state == "running" else api.STARTED, float(share))
--- a/violetsaddle/net/edge.py
+++ b/violetsaddle/net/edge.py
@@ -13,10 +13,10 @@
 from violetsaddle import interface as api
 from violetsaddle.net import http
 from violetsaddle.net.arrivals import Arrivals
-from violetsaddle.net.callbacks import called, take_call
+from violetsaddle.net.callbacks import apply_callback, parse_callback
 from violetsaddle.net.counters import Counters
 from violetsaddle.net.deadlines import Deadlines, Patience, Transport
-from violetsaddle.net.job_headers import ID, estimate, labelled, remaining, subject
+from violetsaddle.net.job_headers import ID, hash_subject, parse_estimate, parse_label, parse_remaining
 from violetsaddle.net.limits import SECOND, Limits
 from violetsaddle.net.requests import Failure, Requests, UnfitError
 from violetsaddle.net.slots import SlotTable
@@ -366,15 +366,15 @@
         """Records the arrival time of the `size` bytes read last: they may wait for the current request."""
         if self._arrivals is None:
             self._arrivals = Arrivals()
-        self._arrivals.came(size, self._shared.deadlines.now() - self._read_delay)
+        self._arrivals.record(size, self._shared.deadlines.now() - self._read_delay)
 
     def _time_buffered(self) -> int:
         """Returns the microseconds since the last byte of the message just parsed arrived."""
         assert self._arrivals is not None
-        came = self._arrivals.of_message(self._parser.held)
+        arrived = self._arrivals.last_byte_of_message(self._parser.held)
         if not self._parser.held:
             self._arrivals = None
-        return self._shared.deadlines.now() - came
+        return self._shared.deadlines.now() - arrived
 
     def _route(self, message: http.Message, waited: int) -> None:
         path, _, query = message.start[1].partition("?")
@@ -399,11 +399,11 @@
             job, cls = message.header("x-txn") or "", message.header("x-lane")
             if not ID.fullmatch(job) or len(job) > limits.identity:
                 raise UnfitError("X-Txn is missing or no id")
-            time = remaining(message.header("x-remaining"))
+            time = parse_remaining(message.header("x-remaining"))
             if waited > limits.unseen and time > 0:
                 time = max(1, time - waited)
                 self._shared.counters.add("requests_waited")  # in the kernel, or behind earlier requests
-            slots = labelled(message.header("x-labels"), "slots", 1.0)
+            slots = parse_label(message.header("x-labels"), "slots", 1.0)
             if cls is None:
                 raise UnfitError("X-Lane is missing")
             self._answer_pending = True
@@ -415,8 +415,8 @@
                 time,
                 bool(message.header("idempotency-key")),
                 slots,
-                subject(query),
-                estimate(message.header("x-estimate")),
+                hash_subject(query),
+                parse_estimate(message.header("x-estimate")),
                 HttpOrder(message),
                 self,
             )
@@ -429,20 +429,20 @@
         """Processes a real server's report on an attempt."""
         body = bytes(message.body)
         try:
-            call = called(body)
+            callback = parse_callback(body)
         except ValueError:
             self._shared.counters.add("bad_callbacks")
             self._answer(400, b"not a callback")
             return
         self._shared.counters.add("callbacks")
-        if self._factory.forward_callback is not None and not self._shared.requests.holds(call["id"]):
+        if self._factory.forward_callback is not None and not self._shared.requests.holds(callback["id"]):
             self._answer_pending = True
             self._stop_timeout()
             self._factory.forward_callback(body, self._final)
             return
         # The reply goes out first, so that the real server does not retry while the callback is processed.
         self._answer(204)
-        take_call(self._shared, call)
+        apply_callback(self._shared, callback)
 
     # The final answers.
 
--- a/violetsaddle/net/job_headers.py
+++ b/violetsaddle/net/job_headers.py
@@ -1,4 +1,4 @@
-"""What a client's head tells of its job, beside the names of classes and tenants."""
+"""Parses the parts of a client's request head that describe its job, except class and tenant names."""
 
 from __future__ import annotations
 
@@ -9,31 +9,34 @@
 from violetsaddle.net.requests import UnfitError
 
 try:
-    from _blake2 import blake2b  # as hashlib would give it, which loads OpenSSL first
+    from _blake2 import blake2b  # the same function as hashlib's, but hashlib loads OpenSSL first
 except ImportError:
     from hashlib import blake2b
 
-UNITS = {"m": MS, "u": 1}
+UNITS = {"m": MS, "u": 1}  # microseconds
 ID = re.compile("[!-~]+")
 
 
-def remaining(text: str | None) -> int:
-    """Microseconds of `480m` or `9000u`; raises `UnfitError`."""
+def parse_remaining(text: str | None) -> int:
+    """Returns the microseconds in an X-Remaining value, as `480m` or `9000u`.
+
+    Raises `UnfitError` if it is missing or malformed."""
     number, unit = (text or "")[:-1], (text or "")[-1:]
     if unit not in UNITS or not number.isascii() or not number.isdigit() or len(number) > 12:
         raise UnfitError("X-Remaining is missing or no time")
     return int(number) * UNITS[unit]
 
 
-def estimate(text: str | None) -> int:
-    """Microseconds of work that the client guesses; 0 where it gives none that can be read."""
+def parse_estimate(text: str | None) -> int:
+    """Returns the client's estimate of the work in microseconds; 0 if it is missing or malformed."""
     number = text or ""
     return int(number) if number.isascii() and number.isdigit() and len(number) <= 12 else 0
 
 
-def labelled(text: str | None, name: str, default: float) -> float:
-    """The number of `name=number` in a list of labels, else `default`; raises `UnfitError` for one that is no
-    number, or is outside 0 to 1024."""
+def parse_label(text: str | None, name: str, default: float) -> float:
+    """Returns the number of the label `name` in a list as `name=number,other=text`, or `default`.
+
+    Raises `UnfitError` if the value is not a number, is not above 0, or is above 1024."""
     for pair in (text or "").split(","):
         key, _, value = pair.partition("=")
         if key.strip() == name:
@@ -47,8 +50,8 @@
     return default
 
 
-def subject(query: str) -> int | None:
-    """The number that stands for what the request is about, the same at every node."""
+def hash_subject(query: str) -> int | None:
+    """Returns a 53-bit hash of the query's `sid`, or None without one; it is the same at every node."""
     for name, value in parse_qsl(query) if "sid=" in query else ():
         if name == "sid":
             return int.from_bytes(blake2b(value.encode(), digest_size=8).digest(), "big") >> 11
--- a/violetsaddle/net/upgrade.py
+++ b/violetsaddle/net/upgrade.py
@@ -28,7 +28,7 @@
 from violetsaddle.decide import upgrade as decide
 from violetsaddle.decide.memory import Listing
 from violetsaddle.decide.upgrade import Action, Event, OldState, SuccessorState
-from violetsaddle.net.callbacks import called, take_call
+from violetsaddle.net.callbacks import apply_callback, parse_callback
 from violetsaddle.net.deadlines import Deadline, Deadlines, Reactor
 from violetsaddle.net.early import SUCCESSOR
 from violetsaddle.net.limits import MS, SECOND
@@ -537,7 +537,7 @@
         for number, (body, _, _) in list(self._calls.items()):
             # As if it had come now: nobody has that request.
             self._answered(number, 204)
-            take_call(self._node.edge.shared, called(body))
+            apply_callback(self._node.edge.shared, parse_callback(body))
 
     # Callbacks.
 
@@ -561,12 +561,12 @@
         """One that the other side passed on; it is not passed on again."""
         self._counters.add("callbacks_taken_over")
         try:
-            call = called(message.body)
+            call = parse_callback(message.body)
         except ValueError:
             self._say(Called(message.number, 400))
             return
         self._say(Called(message.number, 204))
-        take_call(self._node.edge.shared, call)
+        apply_callback(self._node.edge.shared, call)
 
     # What the old process does.
 
