--- a/benchmarks/counting.py
+++ b/benchmarks/counting.py
@@ -103,7 +103,7 @@
     ("deadlines.py", "__lt__", "deadline compares"),
     ("log.py", "callWithLogger", "callWithLogger"),
     ("defer.py", "_runCallbacks", "Deferreds run"),
-    ("http.py", "_field", "head fields parsed"),
+    ("http.py", "_read_header_line", "head fields parsed"),
     ("policy.py", "draw", "draws"),
 )
 
--- a/violetsaddle/net/edge.py
+++ b/violetsaddle/net/edge.py
@@ -39,7 +39,7 @@
         self._body = bytes(message.body)
         self._head = (
             f"{message.start[0]} {message.start[1]} HTTP/1.1\r\n".encode("ascii")
-            + message.lines(NOT_FORWARDED)
+            + message.copy_lines(NOT_FORWARDED)
             + b"Content-Length: %d\r\n" % len(self._body)
         )
 
--- a/violetsaddle/net/http.py
+++ b/violetsaddle/net/http.py
@@ -1,7 +1,7 @@
-"""HTTP/1.1 messages over a read buffer; knows no sockets.
+"""Parses and writes HTTP/1.1 messages; does no input or output.
 
-A message owns the buffer it was read into and its parts are slices of it; what lies behind the message
-moves on into a new buffer."""
+A parsed message owns the buffer that it was read into, and its parts are slices of that buffer.  Bytes after
+the message move to a new buffer."""
 
 from __future__ import annotations
 
@@ -9,12 +9,12 @@
 
 from violetsaddle.net.limits import Limits
 
-END = b"\r\n\r\n"
-# One line of a head: a token, and a value without control characters but tabs.
-FIELD = re.compile(rb"([!#$%&'*+\-.^_`|~0-9A-Za-z]+):([^\x00-\x08\x0a-\x1f\x7f]*)\r\n")
-CONTINUE = b"HTTP/1.1 100 Continue" + END
-CONTROLS = frozenset(range(0x20)) - {0x09} | {0x7F}
-HEX = frozenset(b"0123456789abcdefABCDEF")
+HEAD_END = b"\r\n\r\n"
+# A header line: the name is a token, the value has no control characters except tabs.
+HEADER_LINE = re.compile(rb"([!#$%&'*+\-.^_`|~0-9A-Za-z]+):([^\x00-\x08\x0a-\x1f\x7f]*)\r\n")
+CONTINUE = b"HTTP/1.1 100 Continue" + HEAD_END
+CONTROL_CHARACTERS = frozenset(range(0x20)) - {0x09} | {0x7F}
+HEX_DIGITS = frozenset(b"0123456789abcdefABCDEF")
 REASONS = {
     200: "OK",
     202: "Accepted",
@@ -50,154 +50,155 @@
 
 
 class MalformedError(Exception):
-    """What came in is no message that can be taken; `status` is the answer it deserves."""
+    """The received bytes are not an acceptable message."""
 
     def __init__(self, status: int, text: str) -> None:
-        """`status`: the HTTP status of the answer; `text`: what is wrong, its body."""
+        """`status`: the HTTP status to answer with; `text`: what is wrong, the body of that answer."""
         super().__init__(text)
         self.status, self.text = status, text
 
 
-# Names of headers in lower case, as they came before: there are few, and each comes with every message.
-_KEYS: dict[bytes, str] = {}
-_MOST_KEYS = 256
+# Cache of header names in lower case: the same few names come with every message.
+_LOWER_NAMES: dict[bytes, str] = {}
+_MAX_CACHED_NAMES = 256
 
 
-def _key(name: bytes) -> str:
-    key = _KEYS.get(name)
-    if key is None:
-        key = name.decode("ascii").lower()
-        if len(_KEYS) < _MOST_KEYS:
-            _KEYS[name] = key
-    return key
+def _lower_name(name: bytes) -> str:
+    lower = _LOWER_NAMES.get(name)
+    if lower is None:
+        lower = name.decode("ascii").lower()
+        if len(_LOWER_NAMES) < _MAX_CACHED_NAMES:
+            _LOWER_NAMES[name] = lower
+    return lower
 
 
-# A header: its name in lower case, where its line begins, where its value does and ends, where its line ends.
-Span = tuple[str, int, int, int, int]
+# A header's name in lower case, and the offsets: line start, value start, value end, line end.
+HeaderSpan = tuple[str, int, int, int, int]
 
 
 class Message:
-    """One whole request or answer."""
+    """A complete request or answer."""
 
-    __slots__ = ("start", "body", "sure", "delimited", "_view", "_spans", "_values")
+    __slots__ = ("start", "body", "unambiguous", "delimited", "_view", "_spans", "_values")
 
     def __init__(
-        self, start: tuple[str, str, str], view: memoryview, spans: list[Span], body: memoryview
+        self, start: tuple[str, str, str], view: memoryview, spans: list[HeaderSpan], body: memoryview
     ) -> None:
-        """`start`: the first line's three parts; `view`: the bytes that hold all; `spans`: where the headers
-        lie in it."""
+        """`start`: the three parts of the start line; `view`: the message's buffer; `spans`: the positions of
+        the headers in `view`."""
         self.start, self._view, self._spans, self.body = start, view, spans, body
         self._values: dict[str, str] = {}
-        self.sure = True  # no other message can be taken for it
-        self.delimited = True  # it tells its own end: what ends with its connection may have been cut
+        self.unambiguous = True  # False: it may be a late answer to an earlier request of its connection
+        self.delimited = True  # its length was given; without one, the end of the connection may truncate it
 
     def header(self, name: str) -> str | None:
-        """By its name in lower case; a header given more than once counts as a list."""
+        """Returns a header's value; `name` is in lower case.  Repeated headers are joined with commas."""
         if not self._values and self._spans:
             values = self._values
-            for key, _, first, last, _ in self._spans:
-                value = str(self._view[first:last], "latin-1")
+            for key, _, begin, end, _ in self._spans:
+                value = str(self._view[begin:end], "latin-1")
                 values[key] = f"{values[key]}, {value}" if key in values else value
         return self._values.get(name)
 
-    def lines(self, without: frozenset[str]) -> bytes:
-        """A copy of the head's lines as they came, but for headers with these names in lower case."""
-        kept, begin, end = [], -1, -1
-        for key, at, _, _, stop in self._spans:
-            if key in without:
+    def copy_lines(self, excluded: frozenset[str]) -> bytes:
+        """Returns the unchanged header lines except those of `excluded`, names in lower case."""
+        runs, begin, end = [], -1, -1  # adjacent lines are copied as one run
+        for key, line_start, _, _, line_end in self._spans:
+            if key in excluded:
                 continue
-            if at != end:
+            if line_start != end:
                 if begin >= 0:
-                    kept.append(self._view[begin:end])
-                begin = at
-            end = stop
+                    runs.append(self._view[begin:end])
+                begin = line_start
+            end = line_end
         if begin >= 0:
-            kept.append(self._view[begin:end])
-        return b"".join(kept)
+            runs.append(self._view[begin:end])
+        return b"".join(runs)
 
     @property
     def status(self) -> int:
-        """An answer's status code."""
+        """The status code of an answer."""
         return int(self.start[1])
 
     @property
     def keeps_alive(self) -> bool:
-        """The sender goes on with the connection after this message."""
+        """Whether the sender keeps the connection open after this message."""
         version = self.start[2] if self.start[2].startswith("HTTP/") else self.start[0]
-        wishes = (self.header("connection") or "").lower()
-        return "close" not in wishes and (version == "HTTP/1.1" or "keep-alive" in wishes)
+        options = (self.header("connection") or "").lower()
+        return "close" not in options and (version == "HTTP/1.1" or "keep-alive" in options)
 
 
 class Parser:
-    """Takes bytes as they come, gives whole messages; one side of one connection."""
+    """Incremental parser for one direction of one connection."""
 
-    def __init__(self, limits: Limits, most_body: int, answers: bool = False) -> None:
-        """`most_body`: bytes of a body; `answers`: it reads a server's side of the connection."""
-        self._limits, self._most_body, self._answers = limits, most_body, answers
+    def __init__(self, limits: Limits, max_body: int, answers: bool = False) -> None:
+        """`max_body`: largest body, in bytes; `answers`: parses answers instead of requests."""
+        self._limits, self._max_body, self._parses_answers = limits, max_body, answers
         self._buffer = bytearray()
         self._reset()
 
     def _reset(self) -> None:
         self._scanned = 0
         self._start: tuple[str, str, str] | None = None
-        self._fields: list[Span] = []
-        self._body_at = 0
-        self._length: int | None = 0  # None: up to the end of the connection
-        self._chunked, self._read_at, self._kept = False, 0, 0
-        self._trailers = False
+        self._headers: list[HeaderSpan] = []
+        self._body_start = 0
+        self._length: int | None = 0  # of the body, in bytes; None: the body ends with the connection
+        # `_position` is the offset of the next byte to parse, `_body_end` that of the end of the body so far.
+        self._chunked, self._position, self._body_end = False, 0, 0
+        self._in_trailers = False
 
     def feed(self, data: bytes) -> None:
-        """Takes bytes in; `next` gives what they complete."""
+        """Adds received bytes; `next` returns the messages that they complete."""
         self._buffer += data
 
     @property
     def held(self) -> int:
-        """Bytes that no message has taken yet."""
+        """Number of buffered bytes that belong to no parsed message."""
         return len(self._buffer)
 
     @property
     def begun(self) -> bool:
-        """A part of a message has come."""
+        """Whether a part of the next message has been received."""
         return bool(self._buffer)
 
     @property
     def wants_continue(self) -> bool:
-        """Whether a head has come that waits for a 100 before its body."""
-        return self._start is not None and any(field[0] == "expect" for field in self._fields)
+        """Whether a head was received whose client expects 100 Continue before it sends the body."""
+        return self._start is not None and any(header[0] == "expect" for header in self._headers)
 
     def next(self) -> Message | None:
-        """The next whole message, or None while its bytes have not all come."""
+        """Returns the next message, or None while it is incomplete; raises `MalformedError`."""
         while True:
             if self._start is None and not self._read_head():
                 return None
-            if not self._answers or not 100 <= int((self._start or ("", "0", ""))[1]) < 200:
+            if not self._parses_answers or not 100 <= int((self._start or ("", "0", ""))[1]) < 200:
                 break
-            del self._buffer[: self._body_at]  # an interim answer says nothing of the outcome
+            del self._buffer[: self._body_start]  # an interim answer (1xx) is skipped
             self._reset()
         if self._chunked:
-            return self._cut() if self._read_chunks() else None
-        if self._length is None or len(self._buffer) < self._body_at + self._length:
-            if self._length is None and len(self._buffer) - self._body_at > self._most_body:
+            return self._take_message() if self._read_chunks() else None
+        if self._length is None or len(self._buffer) < self._body_start + self._length:
+            if self._length is None and len(self._buffer) - self._body_start > self._max_body:
                 raise MalformedError(413, "the body is too large")
             return None
-        self._kept = self._read_at = self._body_at + self._length
-        return self._cut()
+        self._body_end = self._position = self._body_start + self._length
+        return self._take_message()
 
     def finish(self) -> Message | None:
-        """The connection has ended: an answer without a length is whole now."""
+        """Returns the answer without a length that the end of the connection completes, or None."""
         if self._start is None or self._length is not None or self._chunked:
             return None
-        self._kept = self._read_at = len(self._buffer)
-        message = self._cut()
+        self._body_end = self._position = len(self._buffer)
+        message = self._take_message()
         message.delimited = False
         return message
 
-    def _cut(self) -> Message:
-        buffer, end = self._buffer, self._read_at
+    def _take_message(self) -> Message:
+        buffer, end = self._buffer, self._position
         self._buffer = buffer[end:]
         view = memoryview(buffer)
         assert self._start is not None
-        message = Message(self._start, view, self._fields, view[self._body_at : self._kept])
+        message = Message(self._start, view, self._headers, view[self._body_start : self._body_end])
         self._reset()
         return message
 
@@ -205,27 +206,27 @@
         buffer = self._buffer
         while not self._scanned and buffer[:2] == b"\r\n":  # RFC 9112, 2.2: empty lines before a message
             del buffer[:2]
-        end = buffer.find(END, max(0, self._scanned - 3))
+        end = buffer.find(HEAD_END, max(0, self._scanned - 3))
         if end > self._limits.head or (end < 0 and len(buffer) > self._limits.head):
             raise MalformedError(431, "the head is too large")
         if end < 0:
             self._scanned = len(buffer)
             return False
-        at = buffer.find(b"\r\n")
-        self._start = self._start_line(bytes(buffer[:at]))
-        at += 2
-        while at < end:
-            at = self._field(at)
-        self._body_at = self._read_at = self._kept = end + len(END)
-        self._framing()
+        position = buffer.find(b"\r\n")
+        self._start = self._parse_start_line(bytes(buffer[:position]))
+        position += 2
+        while position < end:
+            position = self._read_header_line(position)
+        self._body_start = self._position = self._body_end = end + len(HEAD_END)
+        self._read_framing()
         return True
 
-    def _start_line(self, line: bytes) -> tuple[str, str, str]:
+    def _parse_start_line(self, line: bytes) -> tuple[str, str, str]:
         try:
-            parts = line.decode("ascii").split(" ", 2 if self._answers else -1)
+            parts = line.decode("ascii").split(" ", 2 if self._parses_answers else -1)
         except UnicodeDecodeError:
             raise MalformedError(400, "the first line is not ASCII") from None
-        if self._answers:
+        if self._parses_answers:
             if (
                 len(parts) < 2
                 or not parts[0].startswith("HTTP/1.")
@@ -236,104 +237,107 @@
             return parts[0], parts[1], ""
         if len(parts) != 3 or not parts[0] or not parts[0].isalpha() or not parts[1]:
             raise MalformedError(400, "not an HTTP request")
-        if not CONTROLS.isdisjoint(parts[1].encode("ascii")):
+        if not CONTROL_CHARACTERS.isdisjoint(parts[1].encode("ascii")):
             raise MalformedError(400, "the target holds control characters")
-        if parts[1][:7].lower() == "http://":  # RFC 9112, 3.2.2: to be taken, though clients have no reason
+        if parts[1][:7].lower() == "http://":  # RFC 9112, 3.2.2: servers must accept it
             parts[1] = "/" + parts[1][7:].partition("/")[2]
         if parts[2] not in ("HTTP/1.1", "HTTP/1.0"):
             raise MalformedError(505 if parts[2].startswith("HTTP/") else 400, "the version is not HTTP/1.1")
         return parts[0], parts[1], parts[2]
 
-    def _field(self, at: int) -> int:
-        """Takes in the line that begins here and gives where the next one does."""
+    def _read_header_line(self, line_start: int) -> int:
+        """Parses the header line at this offset and returns the offset of the next line."""
         buffer = self._buffer
-        line = FIELD.match(buffer, at)
+        line = HEADER_LINE.match(buffer, line_start)
         if line is None:
             raise MalformedError(400, "a header has no name, a bad one, or control characters")
-        first, last = line.span(2)
-        while first < last and buffer[first] in b" \t":
-            first += 1
-        while last > first and buffer[last - 1] in b" \t":
-            last -= 1
-        stop = line.end()
-        self._fields.append((_key(line[1]), at, first, last, stop))
-        if len(self._fields) > self._limits.fields:
+        value_start, value_end = line.span(2)
+        while value_start < value_end and buffer[value_start] in b" \t":
+            value_start += 1
+        while value_end > value_start and buffer[value_end - 1] in b" \t":
+            value_end -= 1
+        line_end = line.end()
+        self._headers.append((_lower_name(line[1]), line_start, value_start, value_end, line_end))
+        if len(self._headers) > self._limits.fields:
             raise MalformedError(431, "the head holds too many headers")
-        return stop
+        return line_end
 
-    def _framing(self) -> None:
+    def _read_framing(self) -> None:
+        """Finds out from the headers where the body ends."""
         buffer = self._buffer
         lengths, encodings, hosts = [], [], 0
-        for key, _, c, d, _ in self._fields:
-            if key == "content-length":
-                lengths.append(bytes(buffer[c:d]))
-            elif key == "transfer-encoding":
-                encodings.append(bytes(buffer[c:d]).lower())
-            elif key == "host":
+        for name, _, value_start, value_end, _ in self._headers:
+            if name == "content-length":
+                lengths.append(bytes(buffer[value_start:value_end]))
+            elif name == "transfer-encoding":
+                encodings.append(bytes(buffer[value_start:value_end]).lower())
+            elif name == "host":
                 hosts += 1
-        if not self._answers and hosts != 1 and (hosts or (self._start or ("",) * 3)[2] == "HTTP/1.1"):
+        if not self._parses_answers and hosts != 1 and (hosts or (self._start or ("",) * 3)[2] == "HTTP/1.1"):
             raise MalformedError(400, "Host is missing or given twice")  # RFC 9112, 3.2
-        # Two ways to tell the end are two ways to read the connection: neither is taken.
+        # A message with two framings could be read in two ways (request smuggling), so it is rejected.
         if encodings and (lengths or encodings != [b"chunked"]):
             raise MalformedError(400, "unclear transfer encoding")
-        status = int(self._start[1]) if self._answers and self._start else 0
+        status = int(self._start[1]) if self._parses_answers and self._start else 0
         if encodings:
             self._chunked = True
         elif lengths:
             if len(set(lengths)) > 1 or not lengths[0].isdigit() or len(lengths[0]) > 15:
                 raise MalformedError(400, "bad content length")
             self._length = int(lengths[0])
-            if self._length > self._most_body:
+            if self._length > self._max_body:
                 raise MalformedError(413, "the body is too large")
-        elif self._answers:
+        elif self._parses_answers:
             self._length = None
         if 100 <= status < 200 or status in (204, 304):
             self._chunked, self._length = False, 0
 
     def _read_chunks(self) -> bool:
-        """Moves the chunks together within the buffer, so that the body is one slice."""
+        """Moves the chunks together within the buffer, so that the body is one slice.
+
+        Returns whether the message is complete."""
         buffer = self._buffer
         while True:
-            stop = buffer.find(b"\r\n", self._read_at)
-            if stop < 0 or stop - self._read_at > self._limits.head:
-                if len(buffer) - self._read_at > self._limits.head:
+            line_end = buffer.find(b"\r\n", self._position)
+            if line_end < 0 or line_end - self._position > self._limits.head:
+                if len(buffer) - self._position > self._limits.head:
                     raise MalformedError(431, "a chunk's line is too large")
                 return False
-            if self._trailers:
-                done = stop == self._read_at
-                self._read_at = stop + 2
-                if done:
+            if self._in_trailers:
+                complete = line_end == self._position
+                self._position = line_end + 2
+                if complete:
                     return True
-                if self._read_at - self._kept > self._limits.head + self._most_body:
+                if self._position - self._body_end > self._limits.head + self._max_body:
                     raise MalformedError(431, "the trailers are too large")
                 continue
-            size = bytes(buffer[self._read_at : stop]).split(b";")[0].strip()
-            if not size or len(size) > 8 or not HEX.issuperset(size):
+            size = bytes(buffer[self._position : line_end]).split(b";")[0].strip()
+            if not size or len(size) > 8 or not HEX_DIGITS.issuperset(size):
                 raise MalformedError(400, "bad chunk size")
             length = int(size, 16)
-            if self._kept - self._body_at + length > self._most_body:
+            if self._body_end - self._body_start + length > self._max_body:
                 raise MalformedError(413, "the body is too large")
             if not length:
-                self._trailers, self._read_at = True, stop + 2
+                self._in_trailers, self._position = True, line_end + 2
                 continue
-            first = stop + 2
-            if len(buffer) < first + length + 2:
+            chunk_start = line_end + 2
+            if len(buffer) < chunk_start + length + 2:
                 return False
-            if buffer[first + length : first + length + 2] != b"\r\n":
+            if buffer[chunk_start + length : chunk_start + length + 2] != b"\r\n":
                 raise MalformedError(400, "a chunk does not end where it says")
-            buffer[self._kept : self._kept + length] = buffer[first : first + length]
-            self._kept += length
-            self._read_at = first + length + 2
+            buffer[self._body_end : self._body_end + length] = buffer[chunk_start : chunk_start + length]
+            self._body_end += length
+            self._position = chunk_start + length + 2
 
 
 def answer(status: int, body: bytes = b"", headers: str = "", close: bool = False) -> bytes:
-    """An answer's bytes; `headers` are whole lines."""
-    length = "" if status == 204 else f"Content-Length: {len(body)}\r\n"
-    ending = "Connection: close\r\n" if close else ""
-    head = f"HTTP/1.1 {status} {REASONS.get(status, 'Unknown')}\r\n{headers}{length}{ending}\r\n"
+    """Returns the bytes of an answer; `headers`: complete header lines, each with its CRLF."""
+    content_length = "" if status == 204 else f"Content-Length: {len(body)}\r\n"
+    connection = "Connection: close\r\n" if close else ""
+    head = f"HTTP/1.1 {status} {REASONS.get(status, 'Unknown')}\r\n{headers}{content_length}{connection}\r\n"
     return head.encode("latin-1") + body
 
 
 def request(method: str, target: str, host: str) -> bytes:
-    """The bytes of a request without a body."""
+    """Returns the bytes of a request without a body."""
     return f"{method} {target} HTTP/1.1\r\nHost: {host}\r\n\r\n".encode("latin-1")
--- a/violetsaddle/net/servers.py
+++ b/violetsaddle/net/servers.py
@@ -288,7 +288,7 @@
         quiet: int,
         clean: Sequence[int],
     ) -> http.Message:
-        answer.sure = sure
+        answer.unambiguous = sure
         if (now := self._deadlines.now()) < quiet:
             # It may be to the request before: this one's own would be taken for the next one's.
             connection.owed_until = now + self._limits.owed
@@ -360,7 +360,7 @@
             self._requests.word(attempt, Evidence.ACCEPTED)
             return
         word = classify_answer(answer.status, answer.header("x-turned-away"))
-        if not answer.sure or (word is Evidence.TURNED_AWAY and not answer.delimited):
+        if not answer.unambiguous or (word is Evidence.TURNED_AWAY and not answer.delimited):
             # Guards against a late second answer to the request before, which says nothing of this one, and
             # against one that was cut where nothing tells its length.
             word = Evidence.UNEXPECTED
