--- a/tests/wired.py
+++ b/tests/wired.py
@@ -194,7 +194,7 @@
             for name, (state, zone, _) in places.items()
         ]
         at = {name: ("box", port) for name, (_, _, port) in places.items() if name not in gone}
-        self.servers.listed(at, gone, kind != api.DIFF)
+        self.servers.update_addresses(at, gone, kind != api.DIFF)
         self.requests.listed(kind, entries)
 
     def ask(self, job: str, cls: int, remaining: int) -> Client:
--- a/violetsaddle/net/connections.py
+++ b/violetsaddle/net/connections.py
@@ -39,14 +39,14 @@
 class RealServer:
     """A real server as discovery names it."""
 
-    __slots__ = ("name", "number", "host", "port", "idle", "listed", "drains")
+    __slots__ = ("name", "number", "host", "port", "idle", "listed", "draining")
 
     def __init__(self, name: str, number: int) -> None:
         """Without an address until the list gives one; `number`: the one that `Servers.number_of` chose."""
         self.name, self.number, self.host, self.port = name, number, "", 0
         self.idle: list[int] = []  # numbers of connections, the one used last at the end
         self.listed = False
-        self.drains = False  # the list says that it wants nothing new
+        self.draining = False  # the list says that it wants nothing new
 
     @property
     def address(self) -> str:
@@ -67,7 +67,7 @@
         self.on_call_failed: Callable[[str, str], None] | None = None  # told of a system call and its error
         self.number = -1
         self.server: RealServer | None = None
-        self.patience: Patience | None = None  # None: never idle yet
+        self.idle_timer: Patience | None = None  # None: never idle yet
         self._parser = http.Parser(limits, most_body or limits.answer_body, answers=True)
         self._answer: Deferred[http.Message] | None = None
         self._message: Sequence[bytes] | None = None
@@ -76,8 +76,8 @@
         self.open = False
         self.on_open: Callable[[], None] | None = None
         self.fresh = False  # nothing was sent on it before
-        self.quiet = 0  # from then on no second answer to the request before is to be expected
-        self.owed_until = 0  # an answer that was taken may not have been its own, which may come until then
+        self.quiet_from = 0  # when no second answer to the previous request is expected any more
+        self.stray_answer_until = 0  # until then, an unread answer to an earlier request may arrive
 
     def connectionMade(self) -> None:
         """Twisted: the connection is up."""
--- a/violetsaddle/net/discovery.py
+++ b/violetsaddle/net/discovery.py
@@ -98,7 +98,7 @@
             self._counters.most("list_age_most_ms", (self._deadlines.now() - self._asked) // MS)
         for hears in self.seen:
             hears(told, f"{self._host}:{self._port}")
-        self._servers.listed(addresses, gone, whole, drained)
+        self._servers.update_addresses(addresses, gone, whole, drained)
         self._entries = {} if whole else self._entries
         for item, entry in zip(items, entries):
             self._entries[item["id"]] = entry
@@ -125,7 +125,7 @@
         entries = [self._entries[name]._replace(state=state) for name, state in ends.items()]
         gone = [name for name, state in ends.items() if state == api.GONE]
         self._servers.drain(ends.keys() - gone)
-        self._servers.listed({}, gone, False)
+        self._servers.update_addresses({}, gone, False)
         for name, entry in zip(ends, entries):
             self._entries[name] = entry
         for name in gone:
--- a/violetsaddle/net/node.py
+++ b/violetsaddle/net/node.py
@@ -327,7 +327,7 @@
         return {
             "requests": len(self.requests),
             "edge": len(self.edge.shared.connections),
-            "servers": self.servers.held,
+            "servers": self.servers.connection_count,
         }
 
     def _hold(self, held: bool) -> None:
--- a/violetsaddle/net/servers.py
+++ b/violetsaddle/net/servers.py
@@ -1,4 +1,4 @@
-"""Connections to real servers: attempts, probes and the DELETE that ends an attempt early."""
+"""Sends attempts, probes and the DELETEs that cancel attempts to real servers, over pooled connections."""
 
 from __future__ import annotations
 
@@ -24,16 +24,18 @@
 from violetsaddle.net.slots import SlotTable
 from violetsaddle.net.transports import peek
 
-CLEAN = (200, 202, 204, 404)
-DELETED = (200, 204, 404)  # after another answer to a DELETE, its own may still come
+# Statuses after which a connection is reused.
+REUSABLE_STATUSES = (200, 202, 204, 404)
+# After any other answer to a DELETE, the answer that belongs to it may still arrive.
+DELETE_REUSABLE_STATUSES = (200, 204, 404)
 
 
 class WithheldError(Exception):
-    """There is a connection, and nothing is to be sent on it any more."""
+    """The message was cancelled before its first byte was sent; the connection is intact."""
 
 
 class Servers:
-    """All real servers known; implements `requests.Carrier`."""
+    """The known real servers and the connections to them; implements `requests.Carrier`."""
 
     def __init__(
         self,
@@ -42,31 +44,33 @@
         deadlines: Deadlines,
         counters: Counters,
         requests: Requests,
-        told: api.Settings,
-        fields: Mapping[str, str],
-        behind: Callable[[], int],
+        settings: api.Settings,
+        load_fields: Mapping[str, str],
+        read_lag: Callable[[], int],
     ) -> None:
-        """`told`: whether cancels are allowed and how loads are reported; `fields`: the site's names for the
-        values of a report; `behind`: microseconds for which something may lie unread (`Reactor.behind`)."""
+        """`settings`: how real servers report their load; `load_fields`: the standard name for each
+        name that this site's load reports use; `read_lag`: microseconds for which received bytes may have
+        been unread (`Reactor.behind`)."""
         self._reactor, self._limits, self._deadlines = reactor, limits, deadlines
-        self._counters, self._requests, self._fields = counters, requests, fields
+        self._counters, self._requests, self._load_fields = counters, requests, load_fields
         self._by_name: dict[str, RealServer] = {}
         self._by_number: dict[int, RealServer] = {}
         self._connections: SlotTable[ServerConnection] = SlotTable()
         self._dialling = 0
-        self._doubt_until, self._behind = 0, behind
+        self._reuse_suspended_until, self._read_lag = 0, read_lag
         self._releases: Releases[RealServer] = Releases(self, limits, deadlines, counters, requests)
-        self._probe_path = "/metrics/load" if told.report_by_probe else "/alive"
+        self._probe_path = "/metrics/load" if settings.report_by_probe else "/alive"
 
     @property
-    def held(self) -> int:
-        """Connections to real servers, those that are being made included."""
+    def connection_count(self) -> int:
+        """Connections to real servers, including those that are being opened."""
         return len(self._connections) + self._dialling
 
-    # The list.
+    # Addresses from discovery.
 
     def number_of(self, name: str) -> int:
-        """A number for a name, the same at every node and start unless two names collide."""
+        """The number of a real server: a hash of its name, so that it is the same on every node and after a
+        restart, unless two names collide."""
         server = self._by_name.get(name)
         if server is None:
             number = crc32(name.encode())
@@ -75,95 +79,100 @@
             server = self._by_name[name] = self._by_number[number] = RealServer(name, number)
         return server.number
 
-    def listed(
+    def update_addresses(
         self,
         addresses: Mapping[str, tuple[str, int]],
-        gone: Sequence[str],
-        whole: bool,
-        drained: Collection[str] = (),
+        removed: Sequence[str],
+        complete: bool,
+        draining: Collection[str] = (),
     ) -> None:
-        """Takes in where real servers are; `whole`: those not named have gone; `drained`: these want nothing
-        new."""
+        """Updates the (host, port) of real servers.
+
+        `removed`: names to remove; `complete`: names missing from `addresses` are removed too; `draining`:
+        servers that accept no new jobs."""
         for name, (host, port) in addresses.items():
             server = self._by_number[self.number_of(name)]
             if server.listed and (server.host, server.port) != (host, port):
-                # What is still out belongs to the old place: its connections, and a DELETE.
+                # Attempts in flight, and their DELETEs, keep using the old address.
                 server.listed = False
-                self._drop_idle(server)
+                self._close_idle(server)
                 server = RealServer(name, server.number)
                 self._by_name[name] = self._by_number[server.number] = server
-            server.host, server.port, server.listed, server.drains = host, port, True, name in drained
-        left = [n for n in (*gone, *(self._by_name if whole else ())) if n not in addresses]
-        for name in left:
+            server.host, server.port, server.listed, server.draining = host, port, True, name in draining
+        missing = [n for n in (*removed, *(self._by_name if complete else ())) if n not in addresses]
+        for name in missing:
             if name in self._by_name:
-                # Forgotten, or a day's churn of names would stay for good; what is still out keeps it alive.
+                # Names that come and go would otherwise use memory without limit. Attempts in flight keep
+                # their own reference.
                 server = self._by_name.pop(name)
                 del self._by_number[server.number]
                 server.listed = False
-                self._drop_idle(server)
+                self._close_idle(server)
 
     def drain(self, names: Collection[str]) -> None:
-        """These want nothing new."""
+        """Marks real servers that accept no new jobs."""
         for name in names:
             if name in self._by_name:
-                self._by_name[name].drains = True
+                self._by_name[name].draining = True
 
     def prune(self) -> None:
-        """Forgets names that were numbered for a list that then could not be taken."""
+        """Removes names that got a number from a list that was then rejected."""
         for server in [s for s in self._by_name.values() if not s.listed]:
             del self._by_name[server.name], self._by_number[server.number]
 
-    def _drop_idle(self, server: RealServer) -> None:
+    def _close_idle(self, server: RealServer) -> None:
         for number in server.idle:
             connection = self._connections.get(number)
             if connection is not None:
                 self._close(connection)
         server.idle.clear()
 
-    # Connections.
+    # Connection pool.
 
     def _close(self, connection: ServerConnection) -> None:
         connection.open = False
-        if connection.patience is not None:
-            connection.patience.end()
+        if connection.idle_timer is not None:
+            connection.idle_timer.end()
         connection.transport.loseConnection()
 
-    def _lost(self, connection: ServerConnection) -> None:
-        if connection.patience is not None:
-            connection.patience.end()
+    def _connection_lost(self, connection: ServerConnection) -> None:
+        if connection.idle_timer is not None:
+            connection.idle_timer.end()
         self._connections.free(connection.number)
         if connection.server is not None and connection.number in connection.server.idle:
             connection.server.idle.remove(connection.number)
 
-    def _idle(self, server: RealServer, sure: bool = False) -> ServerConnection | None:
-        """The connection used last, of those that are quiet if there are any; `sure`: of those alone on which
-        no answer is owed, and one on which there is makes room for the new one."""
+    def _take_idle(self, server: RealServer, unambiguous: bool = False) -> ServerConnection | None:
+        """Takes the most recently used idle connection, preferring those whose quiet period has passed.
+
+        `unambiguous`: takes only a connection on which no answer to an earlier request can still arrive, and
+        closes those on which one can, to make room for a new one. None: a new connection is needed."""
         now, idle, found = self._deadlines.now(), server.idle, -1
-        for at in reversed(range(len(idle))):
-            connection = self._connections.get(idle[at])
+        for position in reversed(range(len(idle))):
+            connection = self._connections.get(idle[position])
             if connection is None or not connection.open:
-                del idle[at]
-                found -= found > at
-            elif sure and connection.owed_until > now:
-                del idle[at]
+                del idle[position]
+                found -= found > position
+            elif unambiguous and connection.stray_answer_until > now:
+                del idle[position]
                 self._close(connection)
-            elif connection.quiet <= now or not (sure or found >= 0):
-                found = at
-                if connection.quiet <= now:
+            elif connection.quiet_from <= now or not (unambiguous or found >= 0):
+                found = position
+                if connection.quiet_from <= now:
                     break
         taken = self._connections.get(idle.pop(found)) if found >= 0 else None
         if taken is None:
             return None
-        if self._behind() > self._limits.unseen and peek(taken.transport) is not None:
-            # Guards against a second answer, or the connection's end, that came while the node was held up.
+        if self._read_lag() > self._limits.unseen and peek(taken.transport) is not None:
+            # A second answer, or the end of the connection, may have arrived while the node was busy.
             self._close(taken)
-            return self._idle(server, sure)
-        if taken.patience is not None:
-            taken.patience.rest()
+            return self._take_idle(server, unambiguous)
+        if taken.idle_timer is not None:
+            taken.idle_timer.rest()
         return taken
 
     def _connect(self, server: RealServer, spare: int = 0) -> Deferred[ServerConnection]:
-        if not server.port or not self._room(spare):
+        if not server.port or not self._make_room(spare):
             return fail(NotConnectedError("no room" if server.port else "no address"))
         self._dialling += 1
         dialled = dial(
@@ -172,14 +181,14 @@
             self._limits.dial,
             server.host,
             server.port,
-            lambda: ServerConnection(self._limits, self._lost),
+            lambda: ServerConnection(self._limits, self._connection_lost),
         )
 
-        def over(result: Any) -> Any:
+        def count_finished(result: Any) -> Any:
             self._dialling -= 1
             return result
 
-        def up(connection: ServerConnection) -> ServerConnection:
+        def connected(connection: ServerConnection) -> ServerConnection:
             connection.number, connection.server = self._connections.put(connection), server
             connection.fresh = True
             connection.on_call_failed = partial(self._call_failed, server)
@@ -191,135 +200,146 @@
                 self._requests.audit.not_connected(server.name, reason.value.why)
             return reason
 
-        return dialled.addBoth(over).addCallbacks(up, failed)
+        return dialled.addBoth(count_finished).addCallbacks(connected, failed)
 
     def _call_failed(self, server: RealServer, call: str, error: str) -> None:
         self._requests.audit.call_failed(call, error, server=server.name)
 
-    def _room(self, spare: int = 0) -> bool:
-        """Whether a descriptor may be used, `spare` above the limit included; at it the longest idle
-        connection makes room."""
-        if self.held < self._limits.server_connections + spare:
+    def _make_room(self, spare: int = 0) -> bool:
+        """Whether a connection may be opened. At the limit plus `spare` connections, closes the one that has
+        been idle longest; False where none is idle."""
+        if self.connection_count < self._limits.server_connections + spare:
             return True
-        longest = [
+        idle_longest = [
             c
             for s in self._by_name.values()
             if s.idle and (c := self._connections.get(s.idle[0])) is not None
         ]
-        if not longest:
+        if not idle_longest:
             return False
-        oldest = min(longest, key=lambda c: c.patience.until if c.patience is not None else 0)
+        oldest = min(idle_longest, key=lambda c: c.idle_timer.until if c.idle_timer is not None else 0)
         if oldest.server is not None:
             oldest.server.idle.remove(oldest.number)
         self._close(oldest)
         return True
 
-    def _keep(self, connection: ServerConnection) -> None:
-        """Back among the idle, dropped before the real server would drop it."""
+    def _return_to_idle(self, connection: ServerConnection) -> None:
+        """Returns a connection to the idle pool, with a timeout below the real server's own."""
         server = connection.server
         if not connection.open or server is None:
             return
-        connection.fresh, connection.quiet = False, self._deadlines.now() + self._limits.quiet
-        # In doubt, one is enough: probes use it, and so show when kept connections can be trusted again.
-        if not server.listed or server.drains or (server.idle and self._deadlines.now() < self._doubt_until):
+        connection.fresh, connection.quiet_from = False, self._deadlines.now() + self._limits.quiet
+        # While reuse is suspended, one idle connection is kept for probes: they show when reuse works again.
+        if (
+            not server.listed
+            or server.draining
+            or (server.idle and self._deadlines.now() < self._reuse_suspended_until)
+        ):
             self._close(connection)
             return
         server.idle.append(connection.number)
-        if connection.patience is None:
+        if connection.idle_timer is None:
             number = connection.number
 
-            def idled() -> None:
-                # Guards against a request written just as the real server closes: that ends as a reset.
+            def close_idle() -> None:
+                # A request written just as the real server closes the connection would end in a reset.
                 idle = self._connections.get(number)
                 if idle is not None and number in server.idle:
                     server.idle.remove(number)
                     self._close(idle)
 
-            connection.patience = Patience(self._deadlines, idled)
-        connection.patience.set(self._limits.server_idle)
+            connection.idle_timer = Patience(self._deadlines, close_idle)
+        connection.idle_timer.set(self._limits.server_idle)
 
-    # Work for real servers is chained by Deferreds, not by coroutines: an exception thrown into a coroutine
-    # leaves its frames, and all that they hold, to the collector.
+    # Exchanges are chained by Deferreds, not by coroutines: an exception thrown into a coroutine leaves its
+    # frames, and everything that they reference, to the garbage collector.
 
     def _exchange(
         self,
         server: RealServer,
-        kept: ServerConnection | None,
-        message: Callable[[], Sequence[bytes]],
+        reused: ServerConnection | None,
+        build_message: Callable[[], Sequence[bytes]],
         on_written: Callable[[], None] | None = None,
-        clean: Sequence[int] = CLEAN,
+        reuse_after: Sequence[int] = REUSABLE_STATUSES,
     ) -> Deferred[http.Message]:
-        """Sends a message made once there is a connection; fails with `NotConnectedError` or `BrokenError`.
-        `kept`: the connection from `_idle` to use, None: a new one; `clean`: after which answers the
-        connection is kept."""
-        if kept is not None:
+        """Sends a message and gives the answer.
+
+        `reused`: a connection from `_take_idle`, None: opens a new one; `build_message`: called once the
+        connection is open; `reuse_after`: statuses after which the connection is reused. Fails with
+        `NotConnectedError`, `BrokenError` or `WithheldError`."""
+        if reused is not None:
             try:
-                return self._on(kept, message, on_written, clean)
+                return self._exchange_on(reused, build_message, on_written, reuse_after)
             except WithheldError:
                 return fail()
         dialled: Deferred[Any] = self._connect(server)
-        return dialled.addCallback(self._on, message, on_written, clean)
+        return dialled.addCallback(self._exchange_on, build_message, on_written, reuse_after)
 
-    def _on(
+    def _exchange_on(
         self,
         connection: ServerConnection,
-        message: Callable[[], Sequence[bytes]],
+        build_message: Callable[[], Sequence[bytes]],
         on_written: Callable[[], None] | None = None,
-        clean: Sequence[int] = CLEAN,
+        reuse_after: Sequence[int] = REUSABLE_STATUSES,
     ) -> Deferred[http.Message]:
-        quiet = connection.quiet
+        quiet_from = connection.quiet_from
         now = self._deadlines.now()
-        sure = now >= quiet and now >= connection.owed_until
+        unambiguous = now >= quiet_from and now >= connection.stray_answer_until
         try:
-            parts = message()
+            parts = build_message()
         except WithheldError:
-            self._keep(connection)
+            self._return_to_idle(connection)
             raise
         answer = connection.exchange(parts, on_written)
         return answer.addCallbacks(
-            self._whole, self._broke, (connection, sure, quiet, clean), errbackArgs=(connection,)
+            self._exchange_answered,
+            self._exchange_failed,
+            (connection, unambiguous, quiet_from, reuse_after),
+            errbackArgs=(connection,),
         )
 
-    def _whole(
+    def _exchange_answered(
         self,
         answer: http.Message,
         connection: ServerConnection,
-        sure: bool,
-        quiet: int,
-        clean: Sequence[int],
+        unambiguous: bool,
+        quiet_from: int,
+        reuse_after: Sequence[int],
     ) -> http.Message:
-        answer.sure = sure
-        if (now := self._deadlines.now()) < quiet:
-            # It may be to the request before: this one's own would be taken for the next one's.
-            connection.owed_until = now + self._limits.owed
-        turned_away = clean is not DELETED and answer.header("x-turned-away") == "1"
-        if answer.status in clean or turned_away:
-            self._keep(connection)
+        answer.sure = unambiguous
+        if (now := self._deadlines.now()) < quiet_from:
+            # This may answer the previous request; the answer to this one must not be matched to the next.
+            connection.stray_answer_until = now + self._limits.owed
+        turned_away = reuse_after is not DELETE_REUSABLE_STATUSES and answer.header("x-turned-away") == "1"
+        if answer.status in reuse_after or turned_away:
+            self._return_to_idle(connection)
         else:
-            # Whoever answers what nobody understands may send more of it; and where no DELETE is allowed,
-            # this is how a job is given up.
+            # After an unexpected answer, more data may follow. Where the site allows no DELETE, closing the
+            # connection is also what cancels the job.
             self._close(connection)
         return answer
 
-    def _broke(self, reason: Reason, connection: ServerConnection) -> Reason:
-        # Guards against real servers (or boxes between) that drop kept connections without a word: each
-        # request written to one ends as a reset, of which nobody knows whether it ran.
+    def _exchange_failed(self, reason: Reason, connection: ServerConnection) -> Reason:
+        # Real servers, or middleboxes, may drop idle connections silently. Each request written to such a
+        # connection ends in a reset, and it is unknown whether the job ran.
         if isinstance(reason.value, BrokenError) and not connection.fresh:
             self._counters.add("kept_broken")
             if connection.server is not None:
                 self._counters.event("kept connection broke", "warning", server=connection.server.name)
-            self._doubt_until = self._deadlines.now() + self._limits.doubt
+            self._reuse_suspended_until = self._deadlines.now() + self._limits.doubt
         return reason
 
-    def _failed(self, reason: Reason) -> None:
+    def _report_unexpected(self, reason: Reason) -> None:
         if not isinstance(reason.value, (CancelledError, NotConnectedError, BrokenError, WithheldError)):
             self._counters.fault("work for a real server failed", reason.value)
 
-    # What the requests ask for.
+    # Operations of `requests.Carrier` and `release.Sender`.
 
     def carry(self, attempt: Attempt, order: Order, until: int) -> None:
-        """Dials if no kept connection may bear the attempt; a real server that drains or has gone counts as
-        unreached."""
+        """Sends an attempt, on a new connection where no idle one may be used.
+
+        `until`: when the attempt is given up, microseconds. A real server that is draining or was removed
+        counts as not connected."""
         server = self._by_number.get(attempt.server)
         if server is None:
             self._requests.word(attempt, Evidence.NOT_CONNECTED)
@@ -329,44 +349,52 @@
             return
         attempt.name, attempt.real = server.name, server
 
-        def written() -> None:
+        def report_written() -> None:
             self._requests.word(attempt, Evidence.WRITTEN)
 
-        fresh = attempt.effect == api.UNSAFE or self._deadlines.now() < self._doubt_until
-        kept = None if fresh else self._idle(server, sure=attempt.effect != api.SAFE)
-        attempt.dialled = kept is None
+        use_new = attempt.effect == api.UNSAFE or self._deadlines.now() < self._reuse_suspended_until
+        reused = None if use_new else self._take_idle(server, unambiguous=attempt.effect != api.SAFE)
+        attempt.dialled = reused is None
         ticket = attempt.ticket = self._exchange(
-            server, kept, partial(self._message, attempt, server, order, until), written, clean=(202,)
+            server,
+            reused,
+            partial(self._build_message, attempt, server, order, until),
+            report_written,
+            reuse_after=(202,),
         )
-        ticket.addCallbacks(self._answered, self._not_carried, (attempt,), errbackArgs=(attempt,))
-        ticket.addErrback(self._failed)
+        ticket.addCallbacks(self._attempt_answered, self._attempt_failed, (attempt,), errbackArgs=(attempt,))
+        ticket.addErrback(self._report_unexpected)
+
+    def _build_message(
+        self, attempt: Attempt, server: RealServer, order: Order, until: int
+    ) -> Sequence[bytes]:
+        """Builds the message of an attempt just before its first byte is sent.
 
-    def _message(self, attempt: Attempt, server: RealServer, order: Order, until: int) -> Sequence[bytes]:
-        """What is to be sent; raises `WithheldError`.  Asked as the first byte is to leave: a list, or the
-        end of the client, may have come during the dial."""
+        While the connection was being opened, the server may have been removed or the client may have
+        disconnected; then this raises `WithheldError`."""
         now = self._deadlines.now()
         if (
             not server.listed
-            or server.drains
+            or server.draining
             or not self._requests.in_time(attempt)
             or (now > attempt.sent + self._limits.unseen and not self._requests.wanted(attempt))
         ):
             raise WithheldError
         return order.message(server.address, until - now)
 
-    def _answered(self, answer: http.Message, attempt: Attempt) -> None:
+    def _attempt_answered(self, answer: http.Message, attempt: Attempt) -> None:
         attempt.ticket = None
         if answer.status == 202:
             self._requests.word(attempt, Evidence.ACCEPTED)
             return
-        word = classify_answer(answer.status, answer.header("x-turned-away"))
-        if not answer.sure or (word is Evidence.TURNED_AWAY and not answer.delimited):
-            # Guards against a late second answer to the request before, which says nothing of this one, and
-            # against one that was cut where nothing tells its length.
-            word = Evidence.UNEXPECTED
-        self._requests.word(attempt, word, self.report(answer.header("x-pressure")))
-
-    def _not_carried(self, reason: Reason, attempt: Attempt) -> Reason | None:
+        evidence = classify_answer(answer.status, answer.header("x-turned-away"))
+        if not answer.sure or (evidence is Evidence.TURNED_AWAY and not answer.delimited):
+            # A late second answer to the previous request proves nothing about this one. Neither does an
+            # answer without a length, which may be truncated.
+            evidence = Evidence.UNEXPECTED
+        self._requests.word(attempt, evidence, self.report(answer.header("x-pressure")))
+
+    def _attempt_failed(self, reason: Reason, attempt: Attempt) -> Reason | None:
         attempt.ticket = None
         if isinstance(reason.value, (NotConnectedError, WithheldError)):
             self._requests.word(attempt, Evidence.NOT_CONNECTED)
@@ -380,11 +408,13 @@
         return None
 
     def give_up(self, attempt: Attempt, broken: bool = False) -> Deferred[None]:
-        """Closes the connection if no answer has come, and sends a DELETE where the site allows it and the
-        job may be there.  `broken`: the connection was reset before an answer."""
+        """Cancels an attempt: closes its connection if there is no answer yet, and sends a DELETE where the
+        site allows it and the real server may have the job.
+
+        `broken`: the connection was reset before an answer. Fires once the attempt counts as cancelled."""
         ticket, attempt.ticket = attempt.ticket, None
         if ticket is not None:
-            ticket.cancel()  # no answer has come: the end of the connection gives the job up
+            ticket.cancel()  # no answer yet: closing the connection cancels the job
         server = attempt.real
         if (
             not isinstance(server, RealServer)
@@ -394,72 +424,76 @@
             attempt.release = Release.CLOSED
             self._requests.audit.released(attempt, self._requests.waits(attempt), 0, "")
             return succeed(None)
-        # Also before a 202: one that has crossed the closing would leave the job running.
+        # Needed even without a 202: one sent while the connection closed would leave the job running.
         return self._releases.begin(attempt, server, broken)
 
     def deliver(
         self, server: RealServer, message: Callable[[], Sequence[bytes]], fresh: bool
     ) -> Deferred[http.Message]:
-        """As `release.Sender.deliver`."""
+        """Implements `release.Sender.deliver`: sends a DELETE on a connection where no earlier answer can be
+        mistaken for its own."""
         if not fresh:
-            connection = self._idle(server, sure=True)
+            connection = self._take_idle(server, unambiguous=True)
             if connection is not None:
-                return self._on(connection, message, clean=DELETED)
+                return self._exchange_on(connection, message, reuse_after=DELETE_REUSABLE_STATUSES)
             wait = self._until_quiet(server)
-            if wait:  # shorter than a dial, and a new connection would cost the real server work
-                return self._after(wait).addCallback(lambda _: self.deliver(server, message, fresh))
-        # At the limit too: the connection just aborted is counted until the next turn.
+            if wait:  # shorter than a connect, and a new connection costs the real server work
+                return self._delay(wait).addCallback(lambda _: self.deliver(server, message, fresh))
+        # May exceed the limit: a connection that was just aborted is counted until the next reactor turn.
         dialled: Deferred[Any] = self._connect(server, SPARE_DESCRIPTORS // 4)
-        return dialled.addCallback(self._on, message, clean=DELETED)
+        return dialled.addCallback(self._exchange_on, message, reuse_after=DELETE_REUSABLE_STATUSES)
 
     def _until_quiet(self, server: RealServer) -> int:
-        """Microseconds until a kept connection is quiet; 0 where there is none."""
-        kept = [c for n in server.idle if (c := self._connections.get(n)) is not None and c.open]
-        return max(1, min(c.quiet for c in kept) - self._deadlines.now()) if kept else 0
+        """Microseconds until the quiet period of an idle connection ends; 0 where none is idle."""
+        idle = [c for n in server.idle if (c := self._connections.get(n)) is not None and c.open]
+        return max(1, min(c.quiet_from for c in idle) - self._deadlines.now()) if idle else 0
 
-    def _after(self, wait: int) -> Deferred[Any]:
-        """Fires after so many microseconds; can be cancelled."""
-        passed: Deferred[Any] = Deferred(lambda _: self._deadlines.drop(timer))
-        timer = self._deadlines.after(wait, lambda: passed.callback(None))
-        return passed
+    def _delay(self, wait: int) -> Deferred[Any]:
+        """Fires after `wait` microseconds; can be cancelled."""
+        elapsed: Deferred[Any] = Deferred(lambda _: self._deadlines.drop(timer))
+        timer = self._deadlines.after(wait, lambda: elapsed.callback(None))
+        return elapsed
 
     def why(self, reason: Reason) -> str:
-        """As `release.Sender.why`."""
-        self._failed(reason)
+        """Implements `release.Sender.why`: a short reason for the log; unexpected failures are reported."""
+        self._report_unexpected(reason)
         return str(getattr(reason.value, "why", type(reason.value).__name__))
 
     def probe(self, server: int) -> None:
-        """Asks for `/alive` or, where the load is told by probes, for `/metrics/load`."""
+        """Requests `/alive` or, where probes report the load, `/metrics/load`."""
         real = self._by_number.get(server)
         if real is None:
             self._requests.probed(server, False, None)
             return
         host = real.address
         probing = self._exchange(
-            real, self._idle(real), lambda: [http.request("GET", self._probe_path, host)]
+            real, self._take_idle(real), lambda: [http.request("GET", self._probe_path, host)]
         )
-        late = self._deadlines.after(self._limits.probe, probing.cancel)
+        timeout = self._deadlines.after(self._limits.probe, probing.cancel)
 
-        def told(answer: http.Message) -> None:
+        def answered(answer: http.Message) -> None:
             ok = answer.status == 200
             text = bytes(answer.body).decode("utf-8", "replace")
             self._requests.probed(server, ok, self.report(text) if ok else None)
 
-        def silent(reason: Reason) -> None:
-            self._failed(reason)
+        def failed(reason: Reason) -> None:
+            self._report_unexpected(reason)
             self._counters.event("probe failed", "debug", server=real.name)
             self._requests.probed(server, False, None)
 
-        probing.addBoth(self._passed, late).addCallbacks(told, silent).addErrback(self._failed)
+        probing.addBoth(self._drop_timeout, timeout).addCallbacks(answered, failed).addErrback(
+            self._report_unexpected
+        )
 
-    def _passed(self, result: Any, late: Deadline) -> Any:
-        self._deadlines.drop(late)
+    def _drop_timeout(self, result: Any, timeout: Deadline) -> Any:
+        self._deadlines.drop(timeout)
         return result
 
     # Load reports.
 
     def report(self, load: object) -> api.Report | None:
-        """A load report by what its values mean; None where there is none that can be read."""
+        """Parses a load report, a JSON object or `name=value` pairs, and renames its values to the standard
+        names. None: there is no report, or it cannot be parsed. Values that are not finite are skipped."""
         if isinstance(load, str):
             try:
                 load = (
@@ -478,7 +512,7 @@
             except (TypeError, ValueError, OverflowError):
                 number = math.nan
             if math.isfinite(number):
-                named[self._fields.get(str(name).strip(), str(name).strip())] = number
+                named[self._load_fields.get(str(name).strip(), str(name).strip())] = number
             else:
                 self._counters.add("bad_reports")
         return named or None
