--- a/violetsaddle/net/discovery.py
+++ b/violetsaddle/net/discovery.py
@@ -224,7 +224,7 @@
                     # Guards against a discovery that answers at once with nothing new: it must not spin.
                     await self._pause()
         except (NotConnectedError, BrokenError, CancelledError):
-            wrong = self._connection.wrong if self._connection is not None else ""
+            wrong = self._connection.parse_error if self._connection is not None else ""
             if round == self._round and wrong:
                 # The list before stays in force.
                 self._counters.add("watch_bad")
