--- a/violetsaddle/net/discovery.py
+++ b/violetsaddle/net/discovery.py
@@ -1,4 +1,4 @@
-"""Discovery: the list of real servers, watched for as long as it answers."""
+"""Watches the server list of the discovery service by HTTP long polling."""
 
 from __future__ import annotations
 
@@ -20,24 +20,26 @@
 from violetsaddle.net.servers import Servers
 from violetsaddle.net.wall_clock import WallClock
 
-MOST_DOUBLINGS = 2  # of the time for an answer, after calls that were given up: 1.1 s, 2.2 s, 4.4 s
+MAX_TIMEOUT_DOUBLINGS = 2  # after calls that timed out the response timeout grows: 1.1 s, 2.2 s, 4.4 s
 STATES = {"up": api.ACTIVE, "draining": api.DRAINING, "removed": api.GONE}
 
 
 class BadListError(Exception):
-    """What discovery gave is no list; the text names the fault."""
+    """The server list is not valid; the message names the fault."""
 
 
-def address(text: object, least: int = 1) -> tuple[str, int]:
-    """Host and port of `host:port`, the port at least `least`; raises `BadListError`."""
+def address(text: object, min_port: int = 1) -> tuple[str, int]:
+    """Parses `host:port`; raises `BadListError` if it is malformed or the port is below `min_port`."""
     host, _, port = text.rpartition(":") if isinstance(text, str) else ("", "", "")
-    if not host or not (host + port).isascii() or not port.isdigit() or not least <= int(port) < 65536:
+    if not host or not (host + port).isascii() or not port.isdigit() or not min_port <= int(port) < 65536:
         raise BadListError(f"addr is no address: {text!r}")
     return host, int(port)
 
 
 class Discovery:
-    """Implements `requests.Watcher`."""
+    """Client of the discovery service: polls for changes of the server list and applies them.
+
+    Implements `requests.Watcher`."""
 
     def __init__(
         self,
@@ -52,93 +54,108 @@
         kinds: Sequence[str],
         clock: Clock,
     ) -> None:
-        """`at`: discovery's host and port; `zones`, `kinds`: names in the order of the module's numbers."""
-        self._reactor, self._limits, self._deadlines, self._counters = reactor, limits, deadlines, counters
-        self._requests, self._servers, self._host, self._port = requests, servers, *at
+        """`at`: host and port of discovery; `zones`, `kinds`: names, each at the index that the decision
+        module uses for it."""
+        self._reactor = reactor
+        self._limits = limits
+        self._deadlines = deadlines
+        self._counters = counters
+        self._requests = requests
+        self._servers = servers
+        self._host, self._port = at
         self._zones = {name: index for index, name in enumerate(zones)}
         self._kinds = {name: index for index, name in enumerate(kinds)}
-        self._wall = WallClock(clock)  # discovery tells Unix time, the module's clock is the monotonic one
-        self._starts: dict[str, tuple[int, int]] = {}  # of each server: as discovery tells it, and placed
-        self._version: int | None = None  # of the list held; None: none is
+        self._wall_clock = WallClock(clock)  # discovery sends Unix times, the module uses the monotonic clock
+        # By server name: start as discovery sent it (Unix time, ms), and on the monotonic clock (µs).
+        self._start_times: dict[str, tuple[int, int]] = {}
+        self._version: int | None = None  # of the current list; None: no list yet
         self._connection: ServerConnection | None = None
         self._watching = False
-        self._running: Deferred[None] | None = None
-        self._round = 0  # a watch that was moved away must not speak for the present one
+        self._watch_task: Deferred[None] | None = None
+        self._generation = 0  # raised by `move`: a cancelled watch must not change the state of the new one
         self._stopped = False
-        self._doubt = False  # the last call failed
-        self._given_up = 0  # calls in a row, after one that failed, that had no answer in their time
-        self._entries: dict[str, api.Entry] = {}  # of the list held, by name
-        self._asked = deadlines.now()  # when the list held was last known to hold
-        self.seen: list[Callable[[Any, str], object]] = []  # hear of each list taken in, and from where
-
-    def take(self, told: Any, kind: str | None = None) -> None:
-        """Hands a list on; raises `BadListError`, and then nothing of it counts."""
+        self._last_call_failed = False
+        self._timeouts = 0  # consecutive calls that timed out, after a call that failed
+        self._entries: dict[str, api.Entry] = {}  # of the current list, by server name
+        self._last_success = deadlines.now()  # when the current list was last confirmed
+        # Called with each list that is applied and the `host:port` that it came from.
+        self.observers: list[Callable[[Any, str], object]] = []
+
+    def take(self, message: Any, kind: str | None = None) -> None:
+        """Applies `message`, a decoded server list or a list of changes.
+
+        `kind`: event kind for the decision module; None: a snapshot or a diff, as the message says.
+        Raises `BadListError` if the message is not valid.  Then only its drained and removed servers are
+        applied."""
         try:
-            version, whole, items = int(told["version"]), bool(told["full"]), list(told["servers"])
-            entries, gone = [], []
-            drained: set[str] = set()
+            version, full, items = int(message["version"]), bool(message["full"]), list(message["servers"])
+            entries, removed = [], []
+            draining: set[str] = set()
             addresses: dict[str, tuple[str, int]] = {}
             for item in items:
                 entry, name = self._entry(item), item["id"]
                 entries.append(entry)
                 if entry.state == api.GONE:
-                    gone.append(name)
-                    addresses.pop(name, None)  # of two entries with one name the last counts
+                    removed.append(name)
+                    addresses.pop(name, None)  # if a name occurs twice, the last entry counts
                 else:
                     addresses[name] = address(item.get("addr"))
-                    (drained.add if entry.state == api.DRAINING else drained.discard)(name)
+                    (draining.add if entry.state == api.DRAINING else draining.discard)(name)
         except (BadListError, KeyError, TypeError, ValueError, OverflowError, AttributeError) as error:
             self._servers.prune()
-            self._take_drains(told)
+            self._apply_drains_and_removals(message)
             if isinstance(error, BadListError):
                 raise
             raise BadListError(f"{type(error).__name__}: {error}") from None
         self._version = version
         if kind is None:
-            self._counters.most("list_age_most_ms", (self._deadlines.now() - self._asked) // MS)
-        for hears in self.seen:
-            hears(told, f"{self._host}:{self._port}")
-        self._servers.listed(addresses, gone, whole, drained)
-        self._entries = {} if whole else self._entries
+            self._counters.most("list_age_most_ms", (self._deadlines.now() - self._last_success) // MS)
+        for observer in self.observers:
+            observer(message, f"{self._host}:{self._port}")
+        self._servers.listed(addresses, removed, full, draining)
+        self._entries = {} if full else self._entries
         for item, entry in zip(items, entries):
             self._entries[item["id"]] = entry
-        for name in gone:
+        for name in removed:
             self._entries.pop(name, None)
-        self._starts = {name: start for name, start in self._starts.items() if name in self._entries}
-        self._requests.listed(kind or (api.SNAPSHOT if whole else api.DIFF), entries)
+        self._start_times = {
+            name: start for name, start in self._start_times.items() if name in self._entries
+        }
+        self._requests.listed(kind or (api.SNAPSHOT if full else api.DIFF), entries)
 
-    def _take_drains(self, told: Any) -> None:
-        """Of a list that can't be taken: who wants nothing more.  That is told all the same, and one entry
-        that nobody understands must not hide it."""
+    def _apply_drains_and_removals(self, message: Any) -> None:
+        """Applies only the drained and removed servers of a list that is not valid as a whole.
+
+        One malformed entry must not keep the node sending requests to a server that drains."""
         try:
-            states = {item["id"]: item.get("state") for item in told["servers"]}
-            left = self._entries.keys() - states if told["full"] else set[str]()
+            states = {item["id"]: item.get("state") for item in message["servers"]}
+            missing = self._entries.keys() - states if message["full"] else set[str]()
         except (KeyError, TypeError, AttributeError):
             return
-        ends: dict[str, str] = {name: api.GONE for name in left}
+        changes: dict[str, str] = {name: api.GONE for name in missing}
         for name, state in states.items():
             if name in self._entries and state in ("draining", "removed"):
-                ends[name] = STATES[state]
-        ends = {name: state for name, state in ends.items() if self._entries[name].state != state}
-        if not ends:
+                changes[name] = STATES[state]
+        changes = {name: state for name, state in changes.items() if self._entries[name].state != state}
+        if not changes:
             return
-        entries = [self._entries[name]._replace(state=state) for name, state in ends.items()]
-        gone = [name for name, state in ends.items() if state == api.GONE]
-        self._servers.drain(ends.keys() - gone)
-        self._servers.listed({}, gone, False)
-        for name, entry in zip(ends, entries):
+        entries = [self._entries[name]._replace(state=state) for name, state in changes.items()]
+        removed = [name for name, state in changes.items() if state == api.GONE]
+        self._servers.drain(changes.keys() - removed)
+        self._servers.listed({}, removed, False)
+        for name, entry in zip(changes, entries):
             self._entries[name] = entry
-        for name in gone:
+        for name in removed:
             del self._entries[name]
         self._requests.listed(api.DIFF, entries)
 
     def _entry(self, item: dict[str, Any]) -> api.Entry:
         name, state = item["id"], STATES[item.get("state", "up")]
         if not isinstance(name, str) or not name:
-            raise BadListError("an entry's id is no name")
+            raise BadListError("the id of an entry is not a name")
         started, weight = int(item.get("started_ms") or 0), float(item.get("weight", 1.0))
         if not (math.isfinite(weight) and weight >= 0.0):
-            raise BadListError(f"no weight: {weight}")
+            raise BadListError(f"invalid weight: {weight}")
         return api.Entry(
             worker=self._servers.number_of(name),
             zone=self._index(self._zones, item.get("zone", 0)),
@@ -146,15 +163,17 @@
             kind=self._index(self._kinds, item.get("kind", 0)),
             weight=weight,
             state=state,
-            started=self._started(name, started) if started else 0,
+            started=self._start_time(name, started) if started else 0,
         )
 
-    def _started(self, name: str, stamp_ms: int) -> int:
-        """When a server started, on the node's clock.  What was placed once stays: a step of the wall clock
-        must not look like a restart."""
-        known = self._starts.get(name)
-        if known is None or known[0] != stamp_ms:
-            known = self._starts[name] = stamp_ms, self._wall.place(stamp_ms * MS) or 1
+    def _start_time(self, name: str, unix_ms: int) -> int:
+        """Start time of a server on the monotonic clock, in µs.
+
+        The result is kept for as long as `unix_ms` is the same, so that a step of the wall clock does not
+        look like a restart of the server."""
+        known = self._start_times.get(name)
+        if known is None or known[0] != unix_ms:
+            known = self._start_times[name] = unix_ms, self._wall_clock.place(unix_ms * MS) or 1
         return known[1]
 
     @staticmethod
@@ -165,85 +184,85 @@
         return index
 
     def watch(self) -> None:
-        """Asks for the list or its changes, unless a call is under way or it was stopped."""
+        """Starts to poll for the list and its changes, unless it already polls or was stopped."""
         if self._watching or self._stopped:
             return
         self._watching = True
-        self._running = Deferred.fromCoroutine(self._watch(self._round))
-        self._running.addErrback(self._failed, self._round)
+        self._watch_task = Deferred.fromCoroutine(self._watch(self._generation))
+        self._watch_task.addErrback(self._on_watch_error, self._generation)
 
     def move(self, at: tuple[str, int]) -> None:
-        """Discovery is at another address: the watch goes on there at once, from the whole list, for the
-        versions there may be others."""
+        """Switches to discovery at another address and requests the full list there, because its versions
+        may differ."""
         if at == (self._host, self._port):
             return
         self._host, self._port = at
-        self._round += 1
-        self._version, self._watching, self._given_up = None, False, 0
-        if self._running is not None:
-            self._running.cancel()
-        self._hang_up()
+        self._generation += 1
+        self._version, self._watching, self._timeouts = None, False, 0
+        if self._watch_task is not None:
+            self._watch_task.cancel()
+        self._close_connection()
         self.watch()
 
     def stop(self) -> None:
-        """Hangs up; from then on nothing is asked."""
+        """Closes the connection and sends no further calls."""
         self._stopped = True
-        self._hang_up()
+        self._close_connection()
 
-    def _hang_up(self) -> None:
+    def _close_connection(self) -> None:
         if self._connection is not None:
             self._connection.transport.abortConnection()
             self._connection = None
 
-    def _failed(self, reason: Reason, round: int) -> None:
-        """A fault of our own is a failed call too: the module asks again."""
+    def _on_watch_error(self, reason: Reason, generation: int) -> None:
+        """Handles an unexpected exception like a failed call: the module starts the watch again."""
         self._counters.fault("the watch failed", reason.value)
-        self._over(round)
+        self._on_watch_end(generation)
 
-    def _over(self, round: int) -> None:
-        if round != self._round:
+    def _on_watch_end(self, generation: int) -> None:
+        if generation != self._generation:
             return
-        self._watching, self._doubt = False, True
-        self._hang_up()
+        self._watching, self._last_call_failed = False, True
+        self._close_connection()
         if not self._stopped:
             self._requests.listed(api.LIST_ERROR, ())
 
-    async def _watch(self, round: int) -> None:
-        """Asks again as soon as an answer is taken in, until a call fails."""
+    async def _watch(self, generation: int) -> None:
+        """Sends the next call as soon as the response to the last is applied, until a call fails."""
         try:
             while not self._stopped:
-                answer = await self._call()
-                if answer.status != 200:
+                response = await self._call()
+                if response.status != 200:
                     self._counters.add("watch_refused")
-                    self._counters.event("watch refused", "warning", status=answer.status)
+                    self._counters.event("watch refused", "warning", status=response.status)
                     break
-                held = self._version
-                self.take(json.loads(bytes(answer.body)))
-                self._doubt, self._given_up, self._asked = False, 0, self._deadlines.now()
-                if self._version == held:
-                    # Guards against a discovery that answers at once with nothing new: it must not spin.
+                previous_version = self._version
+                self.take(json.loads(bytes(response.body)))
+                self._last_call_failed, self._timeouts, self._last_success = False, 0, self._deadlines.now()
+                if self._version == previous_version:
+                    # Avoids a busy loop if discovery answers at once without changes.
                     await self._pause()
         except (NotConnectedError, BrokenError, CancelledError):
-            wrong = self._connection.wrong if self._connection is not None else ""
-            if round == self._round and wrong:
-                # The list before stays in force.
+            error_text = self._connection.wrong if self._connection is not None else ""
+            if generation == self._generation and error_text:
+                # The current list stays in use.
                 self._counters.add("watch_bad")
                 self._counters.say(
-                    f"discovery's answer can't be taken: {wrong}"
+                    f"discovery's answer can't be taken: {error_text}"
                     f" (a list may hold {self._limits.list_body} bytes)"
                 )
-            elif round == self._round:
+            elif generation == self._generation:
                 self._counters.add("watch_broken")
                 self._counters.event("watch broken", "warning", at=f"{self._host}:{self._port}")
         except (BadListError, ValueError, RecursionError) as error:
             self._counters.add("watch_bad")
             self._counters.say(f"discovery gave a bad list: {error}"[:300])
-        self._over(round)
+        self._on_watch_end(generation)
 
     def _pause(self) -> Deferred[None]:
-        over: Deferred[None] = Deferred()
-        self._deadlines.after(self._limits.watch_pause, lambda: over.callback(None))
-        return over
+        elapsed: Deferred[None] = Deferred()
+        self._deadlines.after(self._limits.watch_pause, lambda: elapsed.callback(None))
+        return elapsed
 
     async def _call(self) -> http.Message:
         if self._connection is None or not self._connection.open:
@@ -256,27 +275,29 @@
                 lambda: ServerConnection(self._limits, lambda _: None, self._limits.list_body),
             )
         target = "/discovery/hosts"
-        # Version 0 is one like any other: without `after` each call would bring the whole list at once.
-        # After a failure with a short wait: what was missed may count as told soon, and discovery may fall
-        # silent again.  But never for the whole list where changes would do: its lines cost discovery more
-        # than the call, and forty nodes that ask for them keep it overbooked.
-        # An overbooked discovery lets calls wait for their turn, for how long no setting tells.  One that is
-        # given up goes to the end of the queue: a node that always gives up too soon is never answered.
-        late_after = answer_within = self._limits.ask << min(self._given_up, MOST_DOUBLINGS)
+        # Version 0 is a valid version: without `after`, each call would return the full list at once.
+        # After a failure the wait is short: missed changes may be due soon, and discovery may stop answering
+        # again.  But a node that has a list never requests the full one: its size costs discovery more than
+        # the call, and forty nodes that request it keep discovery overloaded.
+        # An overloaded discovery queues calls for an unknown time, and a call that is cancelled loses its
+        # place.  So the timeout grows, or a node with a short timeout would never get a response.
+        timeout = response_timeout = self._limits.ask << min(self._timeouts, MAX_TIMEOUT_DOUBLINGS)
         if self._version is not None:
-            wait = self._limits.doubt_wait if self._doubt else self._limits.watch_wait
-            late_after = wait + (answer_within if self._doubt else self._limits.watch_grace)
+            wait = self._limits.doubt_wait if self._last_call_failed else self._limits.watch_wait
+            timeout = wait + (response_timeout if self._last_call_failed else self._limits.watch_grace)
             target += f"?after={self._version}&wait_ms={wait // MS}"
         self._counters.add("watch_calls")
-        calling = self._connection.exchange([http.request("GET", target, f"{self._host}:{self._port}")])
-        late = self._deadlines.after(late_after, lambda: self._give_up(calling))
+        response = self._connection.exchange([http.request("GET", target, f"{self._host}:{self._port}")])
+        timer = self._deadlines.after(timeout, lambda: self._on_timeout(response))
         try:
-            return await calling
+            return await response
         finally:
-            self._deadlines.drop(late)
+            self._deadlines.drop(timer)
+
+    def _on_timeout(self, response: Deferred[http.Message]) -> None:
+        """Cancels a call without a response in time.
 
-    def _give_up(self, calling: Deferred[http.Message]) -> None:
-        """No answer came in time.  After the first one, which shows a watch that fell silent, each next call
-        waits longer."""
-        self._given_up += self._doubt
-        calling.cancel()
+        The first timeout only shows that the watch stopped working.  Each one that follows a failed call
+        makes the timeout of the next call longer."""
+        self._timeouts += self._last_call_failed
+        response.cancel()
--- a/violetsaddle/net/upgrade.py
+++ b/violetsaddle/net/upgrade.py
@@ -350,7 +350,7 @@
         self._calls: dict[int, tuple[bytes, Callable[[int], None], Deadline]] = {}  # passed on, unanswered
         self._called = 0
         self._listing = ServerList()
-        node.discovery.seen.append(self._listing.apply)
+        node.discovery.observers.append(self._listing.apply)
         self._acts: dict[Action, Callable[[], None]] = {
             Action.SPAWN: self._spawn,
             Action.GIVE: self._give,
--- a/violetsaddle/net/warmth.py
+++ b/violetsaddle/net/warmth.py
@@ -52,7 +52,7 @@
         )
         self._max_age = int(restart.believe_s * SECOND)
         self._server_list = memory.ServerList()
-        node.discovery.seen.append(self._server_list.apply)
+        node.discovery.observers.append(self._server_list.apply)
         self._started_at = node.deadlines.now()
         self._initial_slots = 0.0  # of the estimate of the fleet, with which the node started
         self._adopted: Adopted | None = None
