--- a/violetsaddle/net/configuration.py
+++ b/violetsaddle/net/configuration.py
@@ -204,9 +204,9 @@
 
     def meet(self, peers: Peers) -> None:
         """Peers can be heard and told."""
-        before = peers.aside
+        before = peers.datagram_handler
         self._peers = peers
-        peers.aside = lambda origin, data: (
+        peers.datagram_handler = lambda origin, data: (
             self._heard(origin, data) or (before is not None and before(origin, data))
         )
 
@@ -404,7 +404,7 @@
         data = subscription.encode(version.number, version.digest)
         for number in self._neighbours:
             self._node.counters.add("configuration_told")
-            peers.say(number, data)
+            peers.send(number, data)
 
     def _heard(self, origin: int, data: bytes) -> bool:
         """A datagram from a peer; whether it is one of these."""
--- a/violetsaddle/net/peers.py
+++ b/violetsaddle/net/peers.py
@@ -1,4 +1,4 @@
-"""Datagrams between the nodes of the tier, where the settings allow them."""
+"""UDP datagrams between the nodes of the tier, if the settings enable them."""
 
 from __future__ import annotations
 
@@ -14,7 +14,9 @@
 
 
 class Peers(DatagramProtocol):
-    """Implements `requests.Teller`; what comes late or never is the module's to bear."""
+    """Sends and receives the decision module's datagrams.  Implements `requests.Teller`.
+
+    Delivery is not guaranteed: the module tolerates late and lost datagrams."""
 
     noisy = False
     transport: Transport
@@ -28,64 +30,70 @@
         peers: Sequence[tuple[str, int]],
         everyone: tuple[str, int] | None,
     ) -> None:
-        """`peers`: addresses by the peers' numbers; `everyone`: where one datagram reaches all, if there is
-        such an address."""
-        self._reactor, self._limits, self._counters, self._requests = reactor, limits, counters, requests
+        """`peers`: addresses, each at the index that is the peer's number; `everyone`: multicast or broadcast
+        address of all peers, or None."""
+        self._reactor = reactor
+        self._limits = limits
+        self._counters = counters
+        self._requests = requests
         self._addresses = list(peers)
-        self.aside: Callable[[int, bytes], bool] | None = None  # takes a datagram that is not the module's
+        # Gets the peer's number and each datagram first; true: it is handled and does not go to the module.
+        self.datagram_handler: Callable[[int, bytes], bool] | None = None
         self._numbers = {address: number for number, address in enumerate(peers)}
-        self._to = [everyone] if everyone is not None else list(peers)
+        self._broadcast_addresses = [everyone] if everyone is not None else list(peers)
 
     def listen(self, at: tuple[str, int]) -> None:
-        """Binds a UDP socket; one that can't be bound is a line in the log, and no peers are heard."""
+        """Binds a UDP socket.  A failure is logged, and the node runs without peer datagrams."""
         try:
             self._reactor.listenUDP(at[1], self, at[0], self._limits.datagram + 1)
         except CannotListenError as error:
-            # Peers' words help to choose well; a node serves without them too.
+            # Datagrams from peers only improve the choice of servers; the node also works without them.
             self._counters.say(f"peer_listen: {error}")
 
     def adopt(self, fd: int, family: int) -> None:
-        """Listens on a copy of a socket that is bound already."""
+        """Listens on a duplicate of the bound socket `fd`; `family`: its address family."""
         self._reactor.adoptDatagramPort(fd, family, self, self._limits.datagram + 1)
 
     def fd(self) -> int | None:
-        """Its socket's descriptor; None where it could not listen."""
+        """File descriptor of the socket, or None if `listen` failed."""
         return None if self.transport is None else int(self.transport.fileno())
 
     def pause(self) -> None:
-        """What comes is another process's to read."""
+        """Stops reading, so that another process can read from the shared socket."""
         if self.transport is not None:
             self.transport.stopReading()
 
     def resume(self) -> None:
-        """Reads again after `pause`."""
+        """Resumes reading after `pause`."""
         if self.transport is not None:
             self.transport.startReading()
 
     def call_failed(self, call: str, error: str) -> None:
-        """A system call on its socket failed; `error`: its symbol."""
+        """Counts a failed system call on the socket; `error`: symbolic errno, for example `ENOBUFS`."""
         self._counters.add(f"calls_failed_{call}_{error.lower()}")
 
     def datagramReceived(self, data: bytes, addr: tuple[str, int]) -> None:
-        """Twisted: a datagram; one from no peer or beyond the limit counts as bad."""
+        """Passes a datagram on; one from an unknown sender or above the size limit is dropped and counted."""
         number = self._numbers.get(addr)
         if number is None or len(data) > self._limits.datagram:
             self._counters.add("bad_datagrams")
             return
         self._counters.add("heard")
-        if self.aside is None or not self.aside(number, data):
+        if self.datagram_handler is None or not self.datagram_handler(number, data):
             self._requests.heard(number, data)
 
     def tell(self, data: bytes, to: int | None = None) -> None:
-        """To one node by its number, or to all."""
+        """Sends a datagram of the decision module to peer `to`, or to all peers if it is None.
+
+        A datagram above the size limit is dropped."""
         if self.transport is None or len(data) > self._limits.datagram:
             return
         self._counters.add("told")
-        for address in self._to if to is None else self._addresses[to : to + 1]:
+        for address in self._broadcast_addresses if to is None else self._addresses[to : to + 1]:
             self._send(data, address)
 
-    def say(self, number: int, data: bytes) -> None:
-        """To one peer alone."""
+    def send(self, number: int, data: bytes) -> None:
+        """Sends a datagram of the node itself to one peer; drops it if it is too long or the peer unknown."""
         fits = number < len(self._addresses) and len(data) <= self._limits.datagram
         if self.transport is not None and fits:
             self._send(data, self._addresses[number])
@@ -94,4 +102,4 @@
         try:
             self.transport.write(data, address)
         except OSError:
-            self._counters.add("untold")  # no room in the kernel, or no way there: as good as lost
+            self._counters.add("untold")  # send buffer full or no route: treated as lost
--- a/violetsaddle/net/warmth.py
+++ b/violetsaddle/net/warmth.py
@@ -214,7 +214,7 @@
             return
         node, settings = self._node, self._node.config.told
         now = node.deadlines.now()
-        self._peers, peers.aside = peers, self._handle_datagram
+        self._peers, peers.datagram_handler = peers, self._handle_datagram
         self._responder = warmth.WarmStartResponder(settings.me, now)
         adopted = self._adopted
         if adopted is not None and not adopted.reason and adopted.age <= FRESH_SNAPSHOT_AGE:
@@ -234,7 +234,7 @@
         elif now >= query.next_at:
             for number, data in query.next_round(now):
                 node.counters.add("warm_questions")
-                peers.say(number, data)
+                peers.send(number, data)
             node.deadlines.add(query.next_at, self._advance_query)
 
     def _adopt_answers(self, query: warmth.WarmStartQuery) -> None:
@@ -271,7 +271,7 @@
             )
             for answer in answers:
                 node.counters.add("warm_answers")
-                peers.say(origin, answer)
+                peers.send(origin, answer)
             return True
         if self._query is not None and not self._query.finished:
             node.counters.add("warm_heard")
