--- a/violetsaddle/net/discovery.py
+++ b/violetsaddle/net/discovery.py
@@ -173,7 +173,7 @@
         look like a restart of the server."""
         known = self._start_times.get(name)
         if known is None or known[0] != unix_ms:
-            known = self._start_times[name] = unix_ms, self._wall_clock.place(unix_ms * MS) or 1
+            known = self._start_times[name] = unix_ms, self._wall_clock.to_monotonic(unix_ms * MS) or 1
         return known[1]
 
     @staticmethod
