--- a/tests/test_counters.py
+++ b/tests/test_counters.py
@@ -1,4 +1,4 @@
-"""The line of counters as operators' tools read it."""
+"""Format of the counters line, which operators' tools read."""
 
 from __future__ import annotations
 
@@ -7,8 +7,8 @@
 from violetsaddle.net.counters import FORMER_NAMES, Counters
 
 
-class Lines:
-    """A log that keeps its lines."""
+class RecordingLog:
+    """Log that records its lines and accepts no faults or events."""
 
     timer: Callable[[int, Callable[[], object]], object] | None = None
 
@@ -26,12 +26,12 @@
 
 
 def test_renamed_counters_are_shown_under_both_names() -> None:
-    log = Lines()
+    log = RecordingLog()
     counters = Counters("n", log)
     counters.held = lambda: {"requests": 2, "edge": 1}
-    for what, count in (("requests", 5), ("attempts", 4), ("clients_gone", 3), ("overdue", 1)):
+    for counter, count in (("requests", 5), ("attempts", 4), ("clients_gone", 3), ("overdue", 1)):
         for _ in range(count):
-            counters.add(what)
+            counters.add(counter)
     counters.show()
     assert log.lines == [
         "counters askers_gone=3 attempts=4 clients_gone=3 flows=5 held_edge=1 held_flows=2 held_requests=2"
@@ -39,8 +39,8 @@
     ]
 
 
-def test_a_counter_that_was_not_counted_is_shown_under_no_name() -> None:
-    log = Lines()
+def test_a_renamed_counter_without_a_value_is_not_shown() -> None:
+    log = RecordingLog()
     Counters("n", log).show()
     assert log.lines == ["counters "]
     assert not set(FORMER_NAMES) & set(FORMER_NAMES.values())
--- a/violetsaddle/net/counters.py
+++ b/violetsaddle/net/counters.py
@@ -1,4 +1,4 @@
-"""Counts of what the node takes in, sends and answers."""
+"""Counters of the node, and its access to the log."""
 
 from __future__ import annotations
 
@@ -10,8 +10,8 @@
 
 from violetsaddle.net.outlet import Outlet
 
-# Counters that were renamed, with the names they had before.  Operators' tools may read the old ones, so the
-# line of counters shows each under both names with the same value.
+# Maps each renamed counter to its former name.  Operators' tools may read the former names, so the counters
+# line shows the value under both.
 FORMER_NAMES = {
     "requests": "flows",
     "attempts": "schedulings",
@@ -21,48 +21,50 @@
 
 
 class Sink(Protocol):
-    """Where an operator file sends the log; none of its methods raises."""
+    """Log that an operator file configures; its methods do not raise."""
 
-    timer: Callable[[int, Callable[[], object]], object] | None  # runs something after so many microseconds
+    timer: Callable[[int, Callable[[], object]], object] | None  # calls a function after a delay in µs
 
     def say(self, text: str) -> None:
-        """A line that operators are to see."""
+        """Logs a line for operators."""
 
     def fault(self, text: str, error: BaseException | None) -> None:
-        """An exception that was caught where none should be; `text`: what failed by it."""
+        """Logs an unexpected exception that was caught; `text`: what failed because of it."""
 
     def event(self, name: str, level: str = "info", /, **fields: object) -> None:
-        """Something that happened to a request, an attempt or a real server; `fields` are its details."""
+        """Logs an event of a request, an attempt or a real server; `fields`: its details."""
 
 
 class Counters:
-    """Counts by name since the start, and the node's way to its log."""
+    """Counts by name since the start of the process, and writes to the log of the node."""
 
     def __init__(self, name: str, log: Sink | None = None) -> None:
-        """`log`: takes the lines and events instead of standard error."""
-        self.name, self._log, self._outlet = name, log, Outlet(sys.stderr)
+        """`name`: prefix of the lines on standard error; `log`: used instead of standard error."""
+        self.name = name
+        self._log = log
+        self._outlet = Outlet(sys.stderr)
         self._counts: Counter[str] = Counter()
-        self.held: Callable[[], dict[str, int]] = dict  # what is held at this moment, shown with the counts
+        self.held: Callable[[], dict[str, int]] = dict  # current gauges, shown with the counts
 
     @property
     def has_log(self) -> bool:
-        """Whether events go to a log that an operator file asks for."""
+        """Whether an operator file configures a log, which also gets the events."""
         return self._log is not None
 
-    def add(self, what: str) -> None:
-        """Counts one more."""
-        self._counts[what] += 1
+    def add(self, counter: str) -> None:
+        """Adds 1 to a counter."""
+        self._counts[counter] += 1
 
-    def most(self, what: str, value: int) -> None:
-        """Keeps the largest of the values told."""
-        self._counts[what] = max(self._counts[what], value)
+    def most(self, counter: str, value: int) -> None:
+        """Sets a counter to `value` if that is larger."""
+        self._counts[counter] = max(self._counts[counter], value)
 
-    def get(self, what: str) -> int:
-        """0 for what was never counted."""
-        return self._counts[what]
+    def get(self, counter: str) -> int:
+        """Value of a counter, 0 if it was never counted."""
+        return self._counts[counter]
 
     def fault(self, text: str, error: BaseException | None) -> None:
-        """Counts and tells of an exception that was caught where none should be."""
+        """Counts and logs an unexpected exception that was caught."""
         self.add("faults")
         if self._log is not None:
             self._log.fault(text, error)
@@ -70,22 +72,22 @@
         self.say(text + ": " + "".join(traceback.format_exception(error)))
 
     def event(self, name: str, level: str = "info", /, **fields: object) -> None:
-        """Something that happened to a request, attempt or real server; without a log of its own, nothing."""
+        """Logs an event of a request, an attempt or a real server; does nothing without a configured log."""
         if self._log is not None:
             self._log.event(name, level, **fields)
 
     def say(self, text: str) -> None:
-        """Writes a line to the log; one that can't be written is lost without a word."""
+        """Writes a line to the log; a line that can't be written is dropped."""
         if self._log is not None:
             self._log.say(text)
             return
         try:
             print(f"{self.name}: {text}", file=self._outlet, flush=True)
         except OSError:
-            pass  # a log that has gone away is no reason to stop serving
+            pass  # the node keeps serving without a log
 
     def show(self) -> None:
-        """Writes all counts and what is held now as one line, sorted by name."""
-        shown = {**self._counts, **{f"held_{what}": count for what, count in self.held().items()}}
-        shown.update((old, shown[new]) for new, old in FORMER_NAMES.items() if new in shown)
-        self.say("counters " + " ".join(f"{k}={v}" for k, v in sorted(shown.items())))
+        """Logs all counters and gauges as one line, sorted by name."""
+        shown = {**self._counts, **{f"held_{gauge}": value for gauge, value in self.held().items()}}
+        shown.update((former, shown[name]) for name, former in FORMER_NAMES.items() if name in shown)
+        self.say("counters " + " ".join(f"{name}={value}" for name, value in sorted(shown.items())))
