--- a/tests/test_closes.py
+++ b/tests/test_closes.py
@@ -1,5 +1,7 @@
-"""An answer that is written arrives whole, whatever comes as the node closes; and what comes as it ends is
-answered before SIGKILL may come, min(longest deadline, 3 s) + 0.7 s after SIGTERM."""
+"""A written answer arrives complete, whatever the client sends while the node closes the connection.
+
+At shutdown, a request that arrives is answered before SIGKILL, which may come min(longest deadline, 3 s) +
+0.7 s after SIGTERM."""
 
 from __future__ import annotations
 
@@ -26,24 +28,24 @@
 
 class Closes(Scenario):
     def slow_client(self, name: str) -> Line:
-        """One whose kernel takes little at a time."""
+        """Connects a client with a receive buffer of 4 KiB."""
         sock = socket.socket()
         sock.setsockopt(socket.SOL_SOCKET, socket.SO_RCVBUF, 4096)
         sock.connect(("127.0.0.1", self.port))
         self.lines[name] = Line(sock)
         return self.lines[name]
 
-    def answered(self, line: Line) -> None:
-        """The whole of a large answer comes, and then the end."""
+    def assert_answered(self, line: Line) -> None:
+        """The client receives the complete large answer, then the end of the connection."""
         line.sock.settimeout(PATIENCE)
-        heard = b""
+        received = b""
         while data := line.sock.recv(65536):
-            heard += data
-        head, _, body = heard.partition(b"\r\n\r\n")
+            received += data
+        head, _, body = received.partition(b"\r\n\r\n")
         self.assertIn(b"200 OK", head)
         self.assertEqual(len(body), LARGE)
 
-    def test_over_what_was_sent_ahead(self) -> None:
+    def test_with_pipelined_data(self) -> None:
         self.start()
         line = self.slow_client("c")
         self.play("c send " + LAST)
@@ -53,10 +55,10 @@
             c send RAW POST /api HTTP/1.1 | X: LONG(300000)
         """)
         self.play("s call+ a done result=" + "x" * LARGE)
-        self.answered(line)
+        self.assert_answered(line)
 
-    def test_over_what_comes_after_the_answer_was_written(self) -> None:
-        # The connection was closed at once: what came then reset it, and the rest of the answer was lost.
+    def test_with_data_that_arrives_after_the_answer_was_written(self) -> None:
+        # An immediate close let later data reset the connection, and the rest of the answer was lost.
         self.start()
         line = self.slow_client("c")
         self.play("c send " + LAST)
@@ -65,12 +67,12 @@
             s send 202
         """)
         self.play("s call+ a done result=" + "x" * LARGE)
-        self.assertTrue(select.select([line.sock], [], [], PATIENCE)[0])  # it is on its way
+        self.assertTrue(select.select([line.sock], [], [], PATIENCE)[0])  # the answer has begun to arrive
         self.play("c send GET /up")
-        self.answered(line)
+        self.assert_answered(line)
 
-    def test_to_one_that_reads_slowly(self) -> None:
-        # Two seconds after the answer was written the connection was aborted.
+    def test_to_a_client_that_reads_slowly(self) -> None:
+        # The connection was aborted two seconds after the answer was written, before it was read.
         self.start()
         line = self.slow_client("c")
         self.play("c send " + LAST)
@@ -80,16 +82,16 @@
         """)
         large = "y" * (LARGE)
         self.play("s call+ a done result=" + large)
-        begun, heard = time.monotonic(), 0
-        while time.monotonic() - begun < 4:
-            heard += len(line.sock.recv(1024))
+        start, received = time.monotonic(), 0
+        while time.monotonic() - start < 4:
+            received += len(line.sock.recv(1024))
             time.sleep(0.1)
-        self.assertLess(heard, LARGE)
+        self.assertLess(received, LARGE)
         while data := line.sock.recv(65536):
-            heard += len(data)
-        self.assertGreater(heard, LARGE)
+            received += len(data)
+        self.assertGreater(received, LARGE)
 
-    def test_one_that_does_not_read_holds_its_connection_no_longer(self) -> None:
+    def test_a_client_that_does_not_read_is_disconnected(self) -> None:
         self.start()
         self.slow_client("c")
         self.play("c send " + LAST)
@@ -99,9 +101,9 @@
         """)
         self.play("s call+ a done result=" + "x" * LARGE)
         time.sleep(6)
-        self.play("node send USR1\nnode expect counters | held_edge=1")  # the callback's, kept
+        self.play("node send USR1\nnode expect counters | held_edge=1")  # that of the callback
 
-    def test_a_refused_message_and_what_comes_after_it(self) -> None:
+    def test_after_a_rejected_message(self) -> None:
         self.start()
         self.play("""
             c send RAW GET /up HTTP/1.1 | X: LONG(200000)
@@ -110,8 +112,10 @@
 
 
 class Shutdown(Held):
-    def sent_as_idle_ones_close(self, sent: str) -> None:
-        """On a resting connection; the node goes on once it lies in its kernel."""
+    def send_as_idle_connections_close(self, sent: str) -> None:
+        """Sends on an idle connection as the node is about to close it.
+
+        The node continues once the data is in its kernel buffer."""
         self.start_held(CLOSE_SOON)
         self.play("c send GET /up\nc expect 200\nnode send TERM")
         stopped = self.at(CLOSE_SOON)
@@ -119,13 +123,13 @@
         self.unread(self.line("c"))
         self.go(stopped)
 
-    def test_a_request_that_lies_unread_as_idle_connections_close(self) -> None:
-        # It was closed over: the client had to come again, or lost what it had written.
-        self.sent_as_idle_ones_close("c send GET /up")
+    def test_unread_request_as_idle_connections_close(self) -> None:
+        # The connection was closed with the request unread, so the client had to retry or lost it.
+        self.send_as_idle_connections_close("c send GET /up")
         self.play("c expect 200 | close\nc wait\nnode expect exit 0")
 
-    def test_a_job_that_lies_unread_as_idle_connections_close(self) -> None:
-        self.sent_as_idle_ones_close("c send job a settle")
+    def test_unread_job_as_idle_connections_close(self) -> None:
+        self.send_as_idle_connections_close("c send job a settle")
         self.play("""
             s expect POST /api | X-Txn: a
             s send 202
@@ -134,11 +138,11 @@
             node expect exit 0
         """)
 
-    def test_half_a_line_as_idle_connections_close(self) -> None:
-        self.sent_as_idle_ones_close("c send RAW GET /u")
+    def test_partial_request_line_as_idle_connections_close(self) -> None:
+        self.send_as_idle_connections_close("c send RAW GET /u")
         self.play("c send RAW p HTTP/1.1 | Host: n | | \nc expect 200 | close\nnode expect exit 0")
 
-    def test_one_that_has_just_come_may_ask(self) -> None:
+    def test_a_new_connection_may_send_a_request(self) -> None:
         self.start_held(CLOSE_SOON)
         self.play("node send TERM")
         stopped = self.at(CLOSE_SOON)
@@ -147,23 +151,23 @@
         self.play("c send GET /up\nc expect 200 | close\nnode expect exit 0")
 
     def unread(self, line: Line) -> None:
-        """Waits until the kernel has what was sent: it is acknowledged."""
+        """Waits until the node's kernel has acknowledged all data that was sent (tcpi_unacked is 0)."""
         until = time.monotonic() + PATIENCE
         while struct.unpack_from("I", line.sock.getsockopt(socket.IPPROTO_TCP, socket.TCP_INFO, 104), 24)[0]:
             self.assertLess(time.monotonic(), until)
 
-    def test_idle_connections_looked_open_after_the_node_had_left_off_reading_them(self) -> None:
-        # What was sent on them then was closed over.
+    def test_idle_connections_are_shut_down_as_reading_stops(self) -> None:
+        # They looked open after the node had stopped reading, and a request sent then was lost.
         self.start_held(ENDED, settings=deadlines(500_000))
         for name in ("c1", "c2", "c3"):
             self.play(f"{name} send GET /up\n{name} expect 200")
         self.play("node send TERM")
-        self.at(ENDED)  # the first has ended, in the turn in which all are to close
+        self.at(ENDED)  # the first has ended, in the reactor turn that closes all
         for name in ("c1", "c2", "c3"):
             self.assertTrue(select.select([self.line(name).sock], [], [], 0)[0], f"{name} looks open")
 
-    def test_told_to_end_during_its_imports(self) -> None:
-        # SIGTERM then ended the program at once, and reset what had come since it listened.
+    def test_sigterm_during_imports(self) -> None:
+        # SIGTERM ended the process at once and reset the connections made since it listened.
         with listener() as found:
             listen = address(found)
         self.held_at = listener()
@@ -182,44 +186,45 @@
         self.assertIn("200 OK", early.message())
         self.play("node expect stopping\nnode expect exit 0")
 
-    def test_what_comes_late_is_answered_before_the_end(self) -> None:
-        # These times were made for a longest deadline of 3 s or more: with one of a second an answer was
-        # still owed as SIGKILL came.
+    def test_late_requests_are_answered_before_sigkill(self) -> None:
+        # The shutdown times assumed a longest deadline of at least 3 s.  With one of 1 s an answer was still
+        # pending at SIGKILL.
         for longest in (500_000, 1_000_000, 2_000_000, 15_000_000):
             with self.subTest(longest=longest):
-                self.late_ones(longest)
+                self.check_late_requests(longest)
                 self.end()
 
-    def late_ones(self, longest: int) -> None:
-        """Connections that rest until the node ends them, each asking once in the time up to SIGKILL."""
+    def check_late_requests(self, longest: int) -> None:
+        """Idle connections each send one request at a different time between SIGTERM and SIGKILL."""
         self.start(deadlines(longest), servers=1)
         end = min(longest, 3_000_000) / 1e6 + 0.7
-        # Between the node's own times, all multiples of 0.1 s: what crosses the end of a connection is lost.
+        # The node's own times are multiples of 0.1 s.  Requests are sent between them, because one that
+        # crosses the end of its connection is lost.
         times = [0.1 * n + 0.05 for n in range(1, int(end * 10))]
         for n in range(len(times)):
             self.play(f"c{n} send GET /up\nc{n} expect 200")
         self.play("node send TERM")
-        begun, asked = time.monotonic(), []
+        start, sent = time.monotonic(), []
         for n, at in enumerate(times):
-            time.sleep(max(0.0, begun + at - time.monotonic()))
+            time.sleep(max(0.0, start + at - time.monotonic()))
             line = self.line(f"c{n}")
             if select.select([line.sock], [], [], 0)[0]:
-                self.assertEqual(line.sock.recv(1), b"")  # the node has ended it: nothing is asked here
+                self.assertEqual(line.sock.recv(1), b"")  # the node has closed it
                 continue
             line.sock.sendall(self.message(f"job j{n} settle").replace(b"20000m", b"%du" % longest))
-            asked.append((at, line))
-        time.sleep(max(0.0, begun + end - time.monotonic()))
+            sent.append((at, line))
+        time.sleep(max(0.0, start + end - time.monotonic()))
         self.program.kill()
         self.program.wait()
-        self.assertGreater(len(asked), 3)
-        for at, line in asked:
+        self.assertGreater(len(sent), 3)
+        for at, line in sent:
             if at > 0.7:
                 with self.subTest(asked_after=at):
                     self.assertTrue(line.message())
-        self.assertFalse([at for at, _ in asked if at > end - 0.2], "unused ones stay open to the end")
+        self.assertFalse([at for at, _ in sent if at > end - 0.2], "idle connections stay open until SIGKILL")
 
-    def test_signals_up_to_the_very_end(self) -> None:
-        # The interpreter gives signals their default back as it ends: SIGHUP ended the program then, with -1.
+    def test_signals_until_exit(self) -> None:
+        # The interpreter restores the default handlers as it exits, and SIGHUP then ended it with status -1.
         for _ in range(5):
             self.start(deadlines(500_000))
             self.play("node send TERM")
--- a/tests/test_remaining.py
+++ b/tests/test_remaining.py
@@ -1,5 +1,7 @@
-"""The time that a server is told is what the client has left, wherever its request has waited until it was
-read."""
+"""X-Remaining at the real server is the client's remaining time, wherever the request waited before it was
+read.
+
+Guards against a node that forwards the client's time without subtracting how long the request was queued."""
 
 from __future__ import annotations
 
@@ -11,40 +13,40 @@
 from tests.held import Held
 from tests.scenario import address, listener
 
-SLACK = 0.15  # seconds that may be told beyond what is left
-WAITS = 0.6  # seconds for which a request lies in the kernel or behind another
-TOLD = 9.0  # seconds that the client waits
+TOLERANCE_S = 0.15
+QUEUE_TIME_S = 0.6  # in the kernel buffer or behind another request
+CLIENT_TIMEOUT_S = 9.0  # as in `JOB`
 RELOAD = "violetsaddle.net.node:Node.reload"
 JOB = "POST /api | X-Txn: {} | X-Lane: settle | X-Org: acme | X-Remaining: 9000m | | body"
 
 
 class Remaining(Held):
-    def told_in_time(self, job: str, sent: float) -> None:
-        """The server that hears the job next is told what is left of it."""
-        heard = self.next_heard([f"~X-Txn: {job}"])
-        told = re.search(r"X-Remaining: (\d+)u", heard)
-        assert told is not None
-        left = TOLD - (time.monotonic() - sent)
-        self.assertLess(int(told[1]) / 1e6, left + SLACK)
-        self.assertGreater(int(told[1]) / 1e6, left - SLACK)
+    def assert_remaining(self, job: str, sent: float) -> None:
+        """The real server that receives the job next gets its remaining time, which began at `sent`."""
+        request = self.next_heard([f"~X-Txn: {job}"])
+        header = re.search(r"X-Remaining: (\d+)u", request)
+        assert header is not None
+        remaining = CLIENT_TIMEOUT_S - (time.monotonic() - sent)
+        self.assertLess(int(header[1]) / 1e6, remaining + TOLERANCE_S)
+        self.assertGreater(int(header[1]) / 1e6, remaining - TOLERANCE_S)
 
-    def test_a_request_sent_ahead_was_told_on_with_the_time_it_had_waited(self) -> None:
+    def test_pipelined_requests(self) -> None:
         self.start()
         first, second, third = (self.message(JOB.format(name)) for name in "abc")
         self.line("c").sock.sendall(first + second)
         sent = time.monotonic()
         self.play("s expect X-Txn: a\ns send 202")
-        time.sleep(WAITS)
+        time.sleep(QUEUE_TIME_S)
         self.line("c").sock.sendall(third)
         third_sent = time.monotonic()
         self.play("s call+ a done result=x\nc expect 200")
-        self.told_in_time("b", sent)
+        self.assert_remaining("b", sent)
         self.play("s send 202")
-        time.sleep(WAITS)
+        time.sleep(QUEUE_TIME_S)
         self.play("s call+ b done result=x\nc expect 200")
-        self.told_in_time("c", third_sent)
+        self.assert_remaining("c", third_sent)
 
-    def test_a_request_that_lay_unread_during_the_start_was_told_on_with_that_time(self) -> None:
+    def test_unread_during_startup(self) -> None:
         with listener() as found:
             listen = address(found)
         self.held_at = listener()
@@ -56,31 +58,31 @@
         self.port = int(listen.rpartition(":")[2])
         self.play("c send " + JOB.format("a"))
         sent = time.monotonic()
-        time.sleep(WAITS)
+        time.sleep(QUEUE_TIME_S)
         self.go(stopped)
         starting.join()
-        self.told_in_time("a", sent)
+        self.assert_remaining("a", sent)
 
-    def test_a_request_that_lay_unread_in_a_long_turn_was_told_on_with_that_time(self) -> None:
+    def test_unread_during_a_long_reactor_turn(self) -> None:
         self.start_held(RELOAD)
         self.play("c send GET /up\nc expect 200\nnode send HUP")
         stopped = self.at(RELOAD)
         self.play("c send " + JOB.format("a"))
         sent = time.monotonic()
-        time.sleep(WAITS)
+        time.sleep(QUEUE_TIME_S)
         self.go(stopped)
-        self.told_in_time("a", sent)
+        self.assert_remaining("a", sent)
 
-    def test_a_request_that_lay_unread_at_a_stopped_node_was_told_on_with_that_time(self) -> None:
+    def test_unread_at_a_stopped_process(self) -> None:
         self.start()
         for name, first in (("a", "GET /up"), ("b", None)):
             if first is not None:
                 self.play(f"{name} send {first}\n{name} expect 200")
-            time.sleep(0.2)  # the node waits for what comes
+            time.sleep(0.2)  # until the node waits in epoll_wait
             self.program.send_signal(signal.SIGSTOP)
             self.play(f"{name} send " + JOB.format(name))
             sent = time.monotonic()
-            time.sleep(WAITS)
+            time.sleep(QUEUE_TIME_S)
             self.program.send_signal(signal.SIGCONT)
-            self.told_in_time(name, sent)
+            self.assert_remaining(name, sent)
             self.play("s send 202")
