--- a/tests/test_attacked.py
+++ b/tests/test_attacked.py
@@ -1,4 +1,4 @@
-"""Faults that an attack on the node found, each as the smallest day that showed it."""
+"""Regression tests of faults that hostile or unusual input caused, each reduced to the smallest case."""
 
 from __future__ import annotations
 
@@ -23,7 +23,7 @@
 REPORTS = {"report": {"names": ["x0"], "via": "answers"}, "familyInfo": {"reportX0": "free slots"}}
 
 
-def test_where_all_are_cold_a_heavy_job_is_still_sent() -> None:
+def test_heavy_job_is_sent_although_all_servers_are_cold() -> None:
     balancer, recorder = make(workers=0, cold_from=0.2, cold_for=20 * SECOND)
     start = 100 * SECOND
     run_until(balancer, recorder, 0, start)
@@ -34,16 +34,16 @@
         balancer.request(now, f"j{n}", 0, SECOND, hint=20 * MS)
         if recorder.sent_to(f"j{n}"):
             balancer.answer(now, f"j{n}", 0, "ok", 1, True, None)
-    balancer.fleet.rate = 500 / SECOND  # slots; the fleet is far larger than its traffic
+    balancer.fleet.rate = 500 / SECOND  # slots; the capacity is far above the traffic
     balancer.request(now, "big", 0, 4 * SECOND, hint=400 * MS)
     run_until(balancer, recorder, now, now + 5 * SECOND)
-    assert recorder.sent_to("big"), "no budget ever grew to its cost: it was held and refused"
+    assert recorder.sent_to("big"), "no server's budget reached the job's cost: it was queued and refused"
     balancer.request(now, "huge", 0, 4 * SECOND, hint=SECOND)
     run_until(balancer, recorder, now, now + SECOND)
-    assert not recorder.sent_to("huge"), "it would push any of them over by itself"
+    assert not recorder.sent_to("huge"), "the job alone would overload any server"
 
 
-def test_an_old_timer_does_not_act_on_a_new_request_of_its_id() -> None:
+def test_timer_of_an_ended_request_ignores_a_new_request_with_the_same_id() -> None:
     balancer, recorder = make(tells_start=True, second_copies=False, may_cancel=False)
     balancer.request(0, "a", 0, SECOND)
     balancer.answer(1, "a", 0, "full", 1, False, None)
@@ -53,7 +53,7 @@
     assert not balancer.requests["a"].attempts[0].late
 
 
-def test_the_tick_survives_a_worker_that_changes_its_kind() -> None:
+def test_tick_after_a_worker_changed_its_kind() -> None:
     balancer, recorder = make(workers=1, kinds=2)
     balancer.request(0, "a", 0, SECOND, hint=1000)
     balancer.note(1, "a", 0, STARTED, 0.0)
@@ -62,7 +62,7 @@
     run_until(balancer, recorder, 2000, 2 * SECOND)
 
 
-def test_a_start_ahead_of_the_clock_where_nothing_is_cold() -> None:
+def test_start_time_in_the_future_without_cold_servers() -> None:
     balancer, recorder = make(workers=0)
     balancer.members(0, "snapshot", [Entry(1, started=5 * SECOND)])
     balancer.request(0, "a", 0, SECOND)
@@ -70,7 +70,7 @@
 
 
 @pytest.mark.parametrize("bad", [float("inf"), float("nan")])
-def test_a_report_that_is_no_number_is_none(bad: float) -> None:
+def test_report_that_is_not_finite_is_ignored(bad: float) -> None:
     balancer, recorder = make(report=FREE, may_tell=True, schedulers=2)
     balancer.heard(0, 1, bytes((0x80,)))
     balancer.request(1, "a", 0, SECOND)
@@ -80,7 +80,7 @@
 
 
 class Attacked(Scenario):
-    def test_a_load_of_four_hundred_digits_loses_no_outcome(self) -> None:
+    def test_load_of_400_digits_does_not_lose_the_outcome(self) -> None:
         self.start(REPORTS)
         self.play(f"""
             c send job a quote
@@ -93,7 +93,7 @@
         self.play(f"k send POST /callback | | {json.dumps(call).replace('1}', HUGE + '}')}")
         self.play("c expect 200 | mine")
 
-    def test_of_two_entries_with_one_name_the_last_counts(self) -> None:
+    def test_last_of_two_entries_with_the_same_name_applies(self) -> None:
         self.start({"discovery": "ask"}, servers=1)
         self.play("""
             d expect GET /discovery/hosts
@@ -103,7 +103,7 @@
             s expect X-Txn: a
         """)
 
-    def test_a_real_server_that_took_the_address_of_another_is_another(self) -> None:
+    def test_server_at_the_address_of_a_removed_server_is_a_different_server(self) -> None:
         self.start({"discovery": "ask"}, servers=1)
         self.where["s-9"] = self.where["s-1"]
 
@@ -130,7 +130,7 @@
             c expect 200 | first
         """)
 
-    def test_a_real_server_that_moves_leaves_what_is_out_at_its_old_place(self) -> None:
+    def test_jobs_stay_at_the_old_address_of_a_server_that_moves(self) -> None:
         self.start({"discovery": "ask"}, servers=1)
         new = listener()
         self.addCleanup(new.close)
@@ -154,12 +154,12 @@
         self.play("s send 204\nc3 send job c quote\ns expect X-Txn: c")
         self.assertEqual(self.line("s").name, "s-1-new")
 
-    def test_at_the_limit_a_delete_goes_out(self) -> None:
+    def test_delete_is_sent_at_the_connection_limit(self) -> None:
         self.start(servers=1, limits={"sockets": 16})  # five connections to real servers
         self.play("\n".join(f"c{n} send job {n} quote\ns expect X-Txn: {n}" for n in "abcde"))
         self.play("ca close\ns expect ~DELETE /jobs/a")
 
-    def test_lists_with_weights_or_addresses_that_are_none(self) -> None:
+    def test_lists_with_invalid_weights_or_addresses(self) -> None:
         self.start({"discovery": "ask"}, servers=1)
         good = json.dumps(self.listing(2, ["s-1=up"]))
         wide = good.replace("127.0.0.1", "\uff11\uff12\uff17.0.0.1")
@@ -169,7 +169,7 @@
             self.lines.pop("d").sock.close()
         self.play("c send job a quote\ns expect X-Txn: a")
 
-    def test_heads_of_every_kind_of_host(self) -> None:
+    def test_host_headers_and_absolute_targets(self) -> None:
         self.start(servers=1)
         self.play("""
             a send RAW GET /up HTTP/1.0 | |
@@ -183,7 +183,7 @@
             f expect 400
         """)
 
-    def test_a_log_that_nobody_reads_does_not_stop_the_node(self) -> None:
+    def test_full_log_pipe_does_not_block_the_node(self) -> None:
         reader, writer = os.pipe()
         fcntl.fcntl(writer, fcntl.F_SETPIPE_SZ, 4096)
         self.addCleanup(os.close, reader)
@@ -224,7 +224,7 @@
                 )
                 with client:
                     client.settimeout(10)
-                    for n in range(40):  # the pipe holds some twenty of their lines
+                    for n in range(40):  # the pipe has room for the log lines of about 20
                         client.sendall(head.replace("j0", f"j{n}").encode())
                         self.assertIn(b"HTTP/1.1 ", client.recv(4096))
                 program.terminate()
@@ -232,7 +232,7 @@
 
 
 class Starting(Scenario):
-    def test_an_address_that_is_not_ascii(self) -> None:
+    def test_listen_address_that_is_not_ascii(self) -> None:
         with tempfile.NamedTemporaryFile("w", suffix=".json") as file:
             json.dump({"listen": "127.0.0.1:\u00b2", "discovery": "127.0.0.1:1", "settings": SETTINGS}, file)
             file.flush()
--- a/tests/test_told.py
+++ b/tests/test_told.py
@@ -1,4 +1,6 @@
-"""What discovery has is told 6 s after it could be reached, whatever calls failed; no list is passed over."""
+"""The node applies a change within 6 s of the time that discovery has it and can be reached.
+
+This holds whatever calls failed before, and no list is skipped."""
 
 from __future__ import annotations
 
@@ -21,13 +23,13 @@
 
 ASK = {"discovery": "ask"}
 AT = ("discovery", 1)
-TOLD_WITHIN = 6 * SECOND
-SERVICE = SECOND  # discovery lets a call wait for its turn for so long, and refuses it then
+APPLIED_WITHIN = 6 * SECOND
+QUEUE_TIME = SECOND  # microseconds for which discovery queues a call before it refuses it
 ENDED: Any = Failure(ConnectionDone())  # type: ignore[no-untyped-call]
 
 
 class Calls:
-    """A node's discovery on a virtual clock; `bad` says what becomes of each call, `None`: it is served."""
+    """A node's discovery client on a virtual clock; `play` decides how each call ends."""
 
     def __init__(self, nodes: int, asks: bool, seed: int) -> None:
         quote = RequestClass(aim=200 * MS, deadline=5 * SECOND)
@@ -38,12 +40,12 @@
             net, net.limits, net.deadlines, net.counters, net.requests, net.servers, AT, ("z",), ("k",), net
         )
         net.requests.watcher = self.discovery
-        self.seen = 0  # wires
+        self.seen = 0  # number of wires already returned
         if not asks:
             self.discovery.watch()
 
     def call(self) -> Wire:
-        """Runs the clock to the next call, which may be on a new connection or the one before."""
+        """Advances the clock to the next call, on a new connection or on the previous one."""
         while True:
             for wire in self.net.wires[self.seen :]:
                 if not wire.over:
@@ -55,7 +57,7 @@
             self.net.clock.advance(0.001)
 
     def play(self, what: str) -> None:
-        """The next call ends so."""
+        """Ends the next call as `what` says: down, refused, cut, silent, same or served (a new version)."""
         wire = self.call()
         if what == "down":
             wire.fail()
@@ -63,8 +65,8 @@
         if wire.protocol is None:
             wire.up()
         wire.flush()
-        if what == "refused":  # after it has waited for its turn
-            self.net.clock.advance(SERVICE / 1e6)
+        if what == "refused":  # after the time in the queue
+            self.net.clock.advance(QUEUE_TIME / 1e6)
             if not wire.over:
                 wire.tell(b"HTTP/1.1 503 Busy\r\nContent-Length: 0\r\n\r\n")
         elif what == "cut":
@@ -75,7 +77,7 @@
         else:
             version = self.discovery._version
             if what == "served":
-                self.net.clock.advance(SERVICE / 1e6 - 0.001)
+                self.net.clock.advance(QUEUE_TIME / 1e6 - 0.001)
                 version = (version or 0) + 1
             body = json.dumps({"version": version, "full": True, "servers": []}).encode()
             wire.tell(b"HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n" % len(body) + body)
@@ -85,7 +87,7 @@
 
 
 def histories() -> Iterator[tuple[str, ...]]:
-    """What failed before discovery could be reached."""
+    """Failures before discovery can be reached."""
     for long in (0, 1, 4, 12):
         yield ("down",) * long
         yield ("refused",) * long
@@ -94,36 +96,36 @@
 
 @pytest.mark.parametrize("asks", [True, False])
 @pytest.mark.parametrize("nodes", [4, 40, 200, 1024])
-def test_a_change_is_told_in_time_whatever_failed(nodes: int, asks: bool) -> None:
-    # Waits between calls grew to 30 s at 200 nodes.
+def test_change_is_applied_in_time_after_any_failures(nodes: int, asks: bool) -> None:
+    # The back-off between calls grew to 30 s at 200 nodes.
     worst, rows = 0, itertools.product(set(histories()), [(), *((bad,) for bad in BAD)])
     for seed, (before, after) in enumerate(rows):
         calls = Calls(nodes, asks, seed)
         calls.play("same")
         for what in before:
             calls.play(what)
-        # Discovery can be reached from here on, and has a change; a call that is out already may fail still.
-        begun = calls.net.now
+        # From here on discovery can be reached and has a change.  A call already in flight may still fail.
+        start = calls.net.now
         for what in (*after, "served"):
             calls.play(what)
-        worst = max(worst, calls.net.now - begun)
+        worst = max(worst, calls.net.now - start)
         assert calls.discovery._version == 1, (before, after)
         assert not calls.net.faults
-    assert worst <= TOLD_WITHIN, worst / SECOND
+    assert worst <= APPLIED_WITHIN, worst / SECOND
 
 
-def test_a_silent_watch_and_a_call_that_is_refused_fit_into_the_time() -> None:
+def test_silent_watch_and_a_refused_call_fit_into_the_time() -> None:
     for seed in range(20):
         calls = Calls(200, True, seed)
         calls.play("same")
-        begun = calls.net.now
+        start = calls.net.now
         for what in ("silent", "refused", "served"):
             calls.play(what)
-        assert calls.net.now - begun <= TOLD_WITHIN, (calls.net.now - begun) / SECOND
+        assert calls.net.now - start <= APPLIED_WITHIN, (calls.net.now - start) / SECOND
 
 
 def test_calls_after_an_outage_are_spread() -> None:
-    """Two hundred nodes whose discovery returns: no tenth of a second has a fifth of their calls."""
+    """After an outage of discovery, fewer than 40 of 200 nodes call it within the same 100 ms."""
     counts: dict[int, int] = {}
     for seed in range(200):
         calls = Calls(200, True, seed)
@@ -137,8 +139,8 @@
 
 
 class Told(Scenario):
-    def test_where_lists_are_pushed_the_watch_is_open_from_the_start(self) -> None:
-        # Nobody opened it: what discovery had was told, and the node never knew.
+    def test_pushed_lists_watch_is_open_from_the_start(self) -> None:
+        # The watch was not opened, so the node never received the list that discovery published.
         self.start()
         self.play("""
             d expect GET /discovery/hosts?after=1&wait_ms=
@@ -149,27 +151,27 @@
         """)
         self.assertEqual(self.heard[-1].name, "s-2")
 
-    def test_where_lists_are_pushed_a_broken_watch_is_opened_again_within_the_grace(self) -> None:
+    def test_pushed_lists_broken_watch_reopens_within_the_grace_period(self) -> None:
         self.start({"safety": {"drainGrace": 500_000}})
         self.play("d expect after=1")
         for _ in range(8):
             self.play("d close")
-            begun = time.monotonic()
+            start = time.monotonic()
             self.play("d expect after=1")
-            self.assertLess(time.monotonic() - begun, 0.45)
+            self.assertLess(time.monotonic() - start, 0.45)
 
     def test_waits_between_failed_calls_of_a_large_tier(self) -> None:
         self.start({**ASK, "siblings": 200, "permissions": {**SETTINGS["permissions"], "mayTell": True}})
         self.play("d expect after=1\nd close")
         waits = []
         for _ in range(8):
-            begun = time.monotonic()
+            start = time.monotonic()
             self.play("d expect after=1\nd close")
-            waits.append(time.monotonic() - begun)
+            waits.append(time.monotonic() - start)
         self.assertLess(max(waits), 2.1, waits)
 
-    def test_an_entry_that_nobody_understands_hides_no_drain(self) -> None:
-        # It voided the whole list.
+    def test_invalid_entry_does_not_hide_a_drain(self) -> None:
+        # The invalid entry made the node reject the whole list.
         self.start(ASK, servers=3)
         listing = self.listing(2, ["s-1=draining", "s-2=removed", "s-3=up"], full=False)
         listing["servers"].append({"id": "s-4", "addr": "127.0.0.1:9", "zone": "nowhere", "state": "up"})
@@ -179,7 +181,7 @@
             self.play(f"c{n} send job a{n} settle\ns expect X-Txn: a{n}")
             self.assertEqual(self.heard[-1].name, "s-3")
 
-    def test_a_whole_list_with_a_bad_entry_drops_who_is_not_named(self) -> None:
+    def test_full_list_with_a_bad_entry_removes_servers_not_listed(self) -> None:
         self.start(ASK, servers=2)
         listing = self.listing(2, ["s-2=up"])
         listing["servers"][0]["kind"] = "unknown"
@@ -189,7 +191,7 @@
             self.play(f"c{n} send job a{n} settle\ns expect X-Txn: a{n}")
             self.assertEqual(self.heard[-1].name, "s-2")
 
-    def test_a_list_after_sigterm_binds(self) -> None:
+    def test_list_after_sigterm_is_applied(self) -> None:
         self.start(ASK)
         self.play("""
             d expect after=1
@@ -207,7 +209,7 @@
             self.play(f"c{n} send job b{n} settle\ns expect ~X-Txn: b{n}")
             self.assertEqual(self.heard[-1].name, "s-2")
 
-    def test_a_move_to_a_discovery_that_fails_and_back(self) -> None:
+    def test_discovery_address_changes_to_a_failing_one_and_back(self) -> None:
         self.start(ASK)
         self.play("d expect after=1")
         old, self.discovery = self.discovery, listener()
@@ -229,8 +231,8 @@
 class During(Held):
     COMMAND = Scenario.COMMAND
 
-    def test_a_list_that_drains_during_a_dial(self) -> None:
-        # The connection came up and the job left on it, however long ago the drain was told.
+    def test_drain_during_a_dial(self) -> None:
+        # The job was sent once the connection was up, although the server had been draining for long.
         self.start({**ASK, "permissions": {**SETTINGS["permissions"], "dialTimeout": 5_000_000}}, servers=1)
         free = self.crowd_dials("s-1")
         self.servers["s-2"] = other = listener()
