--- a/violetsaddle/net/connections.py
+++ b/violetsaddle/net/connections.py
@@ -14,7 +14,7 @@
 from violetsaddle.net import http
 from violetsaddle.net.deadlines import Deadlines, Patience, Reactor, Transport, nothing
 from violetsaddle.net.limits import Limits
-from violetsaddle.net.transports import name_of, unsent, why_lost
+from violetsaddle.net.transports import errno_name, loss_reason, unsent
 
 
 class NotConnectedError(Exception):
@@ -174,7 +174,7 @@
         answer = self._parser.finish()
         if answer is not None:
             self._deliver_answer(answer)
-        self._fail_exchange(why_lost(reason, self.transport))
+        self._fail_exchange(loss_reason(reason, self.transport))
         self._on_closed(self)
 
 
@@ -226,7 +226,7 @@
         # itself. The reactor may still call either of them in this turn.
         self._transport.doRead = self._transport.doWrite = nothing
         self.clientConnectionLost(connector, reason)
-        self.failed(name_of(getattr(reason.value, "osError", None) or 0))
+        self.failed(errno_name(getattr(reason.value, "osError", None) or 0))
 
     def clientConnectionLost(self, connector: Any, reason: Reason) -> None:
         # A connector and its transport reference each other: without this, only the garbage collector could
--- a/violetsaddle/net/transports.py
+++ b/violetsaddle/net/transports.py
@@ -1,8 +1,9 @@
-"""Transports that report system calls that failed and, where a failure may pass, make the call again.
+"""Transports that report failed system calls and retry those that may have failed only temporarily.
 
-`Reactor` makes every TCP and UDP transport of the node of these classes.  Linux reports an error of a
-connection once; if that has ended, the next read gives its end or one of `ENDED`.  Any other error says
-nothing about the other side, so that no request may be given up for it."""
+`Reactor` uses these classes for every TCP and UDP transport of the node. Linux reports an error of a
+connection once; if the connection has ended, the next read returns the end of the stream or one of
+`CONNECTION_ENDED_ERRORS`. Any other error says nothing about the other side, so no request may be given up
+because of it."""
 
 from __future__ import annotations
 
@@ -24,62 +25,64 @@
 _Port: Any = tcp.Port
 _Connector: Any = tcp.Connector
 _DatagramPort: Any = udp.Port
-LOST: ConnectionLost = main.CONNECTION_LOST  # what Twisted tells apart by its class
+LOST: ConnectionLost = main.CONNECTION_LOST  # Twisted recognizes it by its class
 
-# Errors after which a connection has surely ended.
-ENDED = frozenset(
+# Errors that prove that a connection has ended.
+CONNECTION_ENDED_ERRORS = frozenset(
     (errno.ECONNRESET, errno.EPIPE, errno.ENOTCONN, errno.ESHUTDOWN, errno.EBADF, errno.ENOTSOCK)
 )
-MOMENT = 3.0  # seconds for which a call may fail before its connection counts as ended
-LAST_DATA_RECEIVED = 52  # where `struct tcp_info` holds tcpi_last_data_recv, milliseconds
-PAUSE = 0.005  # seconds until a call that failed is made again
+MAX_FAILING_S = 3.0  # a connection whose calls fail for longer counts as ended
+LAST_DATA_RECEIVED_OFFSET = 52  # bytes into `struct tcp_info`, of tcpi_last_data_recv (32 bits, milliseconds)
+RETRY_DELAY_S = 0.005  # until a failed call is repeated
 
 
-def name_of(number: int) -> str:
-    """The symbol of an error number, as `ETIMEDOUT`."""
+def errno_name(number: int) -> str:
+    """The symbol of an error number, such as `ETIMEDOUT`; the number itself where it has none."""
     return errno.errorcode.get(number, str(number))
 
 
 def unsent(transport: Any) -> int:
-    """Bytes written to a stream transport that the kernel has not taken; Twisted tells it no other way."""
+    """Bytes written to a stream transport that the kernel has not taken; Twisted has no public API for it."""
     return len(transport.dataBuffer) - int(transport.offset) + int(transport._tempDataLen)
 
 
 def peek(transport: Any) -> bytes | None:
-    """A byte that lies in the kernel unread; empty: the other side has ended; None: nothing has come, or the
-    look has failed."""
+    """The next unread byte in the kernel, which stays there. Empty: the other side has ended the connection;
+    None: nothing has arrived, or the call failed."""
     try:
         handle: socket.socket = transport.getHandle()
         return handle.recv(1, socket.MSG_PEEK | socket.MSG_DONTWAIT)
     except BlockingIOError:
         return None
     except OSError as error:
-        return b"" if error.errno in ENDED else None
+        return b"" if error.errno in CONNECTION_ENDED_ERRORS else None
 
 
 def unread_for(transport: Any) -> int:
-    """Microseconds since bytes last came in at the kernel, by its own clock of some milliseconds a tick; 0
-    where it does not tell."""
+    """Microseconds since the kernel last received bytes, with a resolution of a few milliseconds; 0 where the
+    kernel does not say."""
     try:
-        told = transport.getHandle().getsockopt(socket.IPPROTO_TCP, socket.TCP_INFO, LAST_DATA_RECEIVED + 4)
-        return int(struct.unpack_from("=I", told, LAST_DATA_RECEIVED)[0]) * MS
+        tcp_info = transport.getHandle().getsockopt(
+            socket.IPPROTO_TCP, socket.TCP_INFO, LAST_DATA_RECEIVED_OFFSET + 4
+        )
+        return int(struct.unpack_from("=I", tcp_info, LAST_DATA_RECEIVED_OFFSET)[0]) * MS
     except (OSError, struct.error):
         return 0
 
 
 def end_writing(transport: Any) -> None:
-    """Ends our side of a stream transport at once where all that was written has left.
+    """Ends our side of a stream transport at once if the kernel has taken everything that was written.
 
-    Twisted does so a turn later; until then what the other side sends would be lost."""
+    Twisted would do so one reactor turn later, and data that arrives until then would be lost."""
     if not unsent(transport):
         try:
             transport.getHandle().shutdown(socket.SHUT_WR)
         except OSError:
-            return  # the connection is closed a turn later
+            return  # Twisted closes the connection in the next turn
 
 
-def why_lost(reason: Reason, transport: Any) -> str:
-    """Why a connection ended, in a few words for the log; `reason` is that of `connectionLost`."""
+def loss_reason(reason: Reason, transport: Any) -> str:
+    """Why a connection ended, in a few words for the log. `reason`: as passed to `connectionLost`."""
     ended_by = getattr(transport, "ended_by", "")
     if ended_by and isinstance(reason.value, ConnectionLost):
         return str(ended_by)
@@ -89,123 +92,123 @@
 
 
 class _Reader:
-    """Can leave off reading for a pause; mixed in before Twisted's class."""
+    """A mixin that can pause reading. It must come before Twisted's class."""
 
     connected: int
     reactor: Any
     _wants_reading = False
 
     def startReading(self) -> None:
-        """Twisted: what comes is to be read from now on."""
+        """Twisted: starts or resumes reading."""
         self._wants_reading = True
         self.reactor.addReader(self)
 
     def stopReading(self) -> None:
-        """Twisted: what comes stays unread."""
+        """Twisted: stops reading; received data stays in the kernel."""
         self._wants_reading = False
         self.reactor.removeReader(self)
 
-    def read_later(self) -> None:
-        """A read failed: it is made again after `PAUSE`, unless reading is stopped until then."""
+    def retry_read(self) -> None:
+        """Repeats a failed read after `RETRY_DELAY_S`, unless reading has been stopped by then."""
         self.reactor.removeReader(self)
-        self.reactor.callLater(PAUSE, self._read_again)
+        self.reactor.callLater(RETRY_DELAY_S, self._resume_reading)
 
-    def _read_again(self) -> None:
+    def _resume_reading(self) -> None:
         if self.connected and self._wants_reading:
             self.reactor.addReader(self)
 
 
 class _StreamTransport(_Reader):
-    """What both kinds of stream transports share; mixed in before Twisted's class.
+    """A mixin for both kinds of stream transports. It must come before Twisted's class.
 
-    Each failed call is told to the protocol's `call_failed(call, error)`, if it has such a method."""
+    Each failed call is reported to the protocol's `call_failed(call, error)`, if it has such a method."""
 
     SEND_LIMIT: int
     bufferSize: int
     socket: Any
     protocol: Any
     _dataReceived: Callable[[bytes], Any]
-    _failing_since = 0.0  # of the monotonic clock; 0: calls work
-    ended_by = ""  # the call and its error that ended the connection
+    _failing_since = 0.0  # seconds of the monotonic clock; 0: the last call succeeded
+    ended_by = ""  # `call:error` that ended the connection
 
     def doRead(self) -> Any:
-        """Twisted: something can be read.  Gives the reason for which the connection has ended, or None."""
+        """Twisted: data can be read. Returns why the connection has ended, or None."""
         try:
             data = self.socket.recv(self.bufferSize)
         except BlockingIOError:
             return None
         except OSError as error:
-            ended = self._failed("recv", error)
+            ended = self._handle_failure("recv", error)
             if ended is None:
-                self.read_later()
+                self.retry_read()
             return ended
         self._failing_since = 0.0
         return self._dataReceived(data)
 
     def writeSomeData(self, data: bytes) -> Any:
-        """Twisted: gives how many bytes the kernel took, or the reason for which the connection has ended."""
+        """Twisted: returns how many bytes the kernel took, or why the connection has ended."""
         if not data:
-            return 0  # Twisted asks so before it closes
+            return 0  # Twisted calls it without data before it closes the connection
         try:
             sent = self.socket.send(memoryview(data)[: self.SEND_LIMIT])
         except BlockingIOError:
             return 0
         except OSError as error:
-            ended = self._failed("send", error)
+            ended = self._handle_failure("send", error)
             if ended is None:
                 self.reactor.removeWriter(self)
-                self.reactor.callLater(PAUSE, self._write_again)
+                self.reactor.callLater(RETRY_DELAY_S, self._resume_writing)
             return ended or 0
         self._failing_since = 0.0
         return sent
 
-    def _write_again(self) -> None:
+    def _resume_writing(self) -> None:
         if self.connected and unsent(self):
             self.reactor.addWriter(self)
 
-    def _failed(self, call: str, error: OSError) -> ConnectionLost | None:
-        """Reports a call that failed; None where it is to be made again."""
+    def _handle_failure(self, call: str, error: OSError) -> ConnectionLost | None:
+        """Reports a failed call. Returns why the connection has ended; None: the call is to be repeated."""
         number, now = error.errno or 0, monotonic()
         self._failing_since = self._failing_since or now
-        told = getattr(self.protocol, "call_failed", None)
-        if told is not None:
-            told(call, name_of(number))
-        if number in ENDED or now - self._failing_since > MOMENT:
-            self.ended_by = f"{call}:{name_of(number)}"
+        report = getattr(self.protocol, "call_failed", None)
+        if report is not None:
+            report(call, errno_name(number))
+        if number in CONNECTION_ENDED_ERRORS or now - self._failing_since > MAX_FAILING_S:
+            self.ended_by = f"{call}:{errno_name(number)}"
             return LOST
         return None
 
 
 class ServerTransport(_StreamTransport, _Server):  # type: ignore[misc]
-    """A connection that was accepted."""
+    """An accepted connection."""
 
 
 class ClientTransport(_StreamTransport, _Client):  # type: ignore[misc]
-    """A connection that was made here."""
+    """An outgoing connection."""
 
 
 class ListeningPort(_Port):  # type: ignore[misc]
-    """Accepts connections as `ServerTransport`."""
+    """A listening socket whose connections are `ServerTransport`s."""
 
     transport = ServerTransport
 
 
 class Connector(_Connector):  # type: ignore[misc]
-    """Makes connections as `ClientTransport`."""
+    """Opens connections that are `ClientTransport`s."""
 
     def _makeTransport(self) -> Any:
         return ClientTransport(self.host, self.port, self.bindAddress, self, self.reactor)
 
 
 class DatagramPort(_Reader, _DatagramPort):  # type: ignore[misc]
-    """Sends and takes datagrams; a read that fails does not close it."""
+    """Sends and receives datagrams. A failed read does not close it."""
 
     def doRead(self) -> None:
         """Twisted: datagrams can be read."""
         try:
             super().doRead()
         except OSError as error:
-            told = getattr(self.protocol, "call_failed", None)
-            if told is not None:
-                told("recvfrom", name_of(error.errno or 0))
-            self.read_later()
+            report = getattr(self.protocol, "call_failed", None)
+            if report is not None:
+                report("recvfrom", errno_name(error.errno or 0))
+            self.retry_read()
--- a/violetsaddle/net/upgrade.py
+++ b/violetsaddle/net/upgrade.py
@@ -33,7 +33,7 @@
 from violetsaddle.net.early import SUCCESSOR
 from violetsaddle.net.limits import MS, SECOND
 from violetsaddle.net.node import Config, ConfigError, Node
-from violetsaddle.net.transports import ENDED
+from violetsaddle.net.transports import CONNECTION_ENDED_ERRORS
 
 PROTOCOL = 1
 PREFIX = 4  # bytes that hold a message's length
@@ -228,7 +228,7 @@
             return 0
         except OSError as error:
             # Where nobody reads it, what they have said still lies here, and then their end.
-            return len(data) if error.errno in ENDED else 0
+            return len(data) if error.errno in CONNECTION_ENDED_ERRORS else 0
 
     def doRead(self) -> Any:
         """Twisted: takes in what has come; gives a reason once the other side has ended."""
@@ -237,7 +237,7 @@
         except BlockingIOError:
             return None
         except OSError as error:
-            return CONNECTION_LOST if error.errno in ENDED else None
+            return CONNECTION_LOST if error.errno in CONNECTION_ENDED_ERRORS else None
         for fd in fds:
             os.set_inheritable(fd, False)
         self.fds += fds
