--- a/violetsaddle/net/poller.py
+++ b/violetsaddle/net/poller.py
@@ -1,50 +1,51 @@
-"""The reactor's epoll, whose changes are made again where the kernel had no memory for them.
+"""An epoll wrapper for the reactor that retries changes for which the kernel had no memory.
 
-Twisted closes a connection when `epoll_ctl` fails on it, whatever the connection still owes.  Here the change
-is kept, and made before the next wait."""
+Twisted closes a connection when `epoll_ctl` fails on it, even if a response is still outstanding. Here the
+change is queued and repeated before the next wait."""
 
 from __future__ import annotations
 
 import errno
 from typing import Protocol
 
-NO_MEMORY = (errno.ENOMEM, errno.ENOSPC)
-AGAIN = 0.005  # seconds for which to wait at most while a change is still to be made
+OUT_OF_MEMORY_ERRORS = (errno.ENOMEM, errno.ENOSPC)
+RETRY_INTERVAL_S = 0.005  # longest wait while a change is pending
 
 
 class Epoll(Protocol):
-    """What is used of `select.epoll`."""
+    """The part of `select.epoll` that `Poller` uses."""
 
     def fileno(self) -> int:
-        """Its descriptor."""
+        """The file descriptor of epoll itself."""
 
     def close(self) -> None:
-        """Closes it."""
+        """Closes that descriptor."""
 
     def register(self, fd: int, eventmask: int) -> None:
-        """Raises `OSError`."""
+        """Starts watching a descriptor; raises `OSError`."""
 
     def modify(self, fd: int, eventmask: int) -> None:
-        """Raises `OSError`."""
+        """Replaces the events of a watched descriptor; raises `OSError`."""
 
     def unregister(self, fd: int) -> None:
-        """Raises `OSError`."""
+        """Stops watching a descriptor; raises `OSError`."""
 
     def poll(self, timeout: float, maxevents: int) -> list[tuple[int, int]]:
-        """(descriptor, events) pairs."""
+        """Waits up to `timeout` seconds; returns (descriptor, events) pairs."""
 
 
 class Poller:
-    """What Twisted's reactor uses of `select.epoll`.  `register` and `modify` raise `OSError`, but not for a
-    lack of memory."""
+    """The methods of `select.epoll` that Twisted's reactor uses.
+
+    `register` and `modify` raise `OSError`, except for a lack of memory: then the change is retried."""
 
     def __init__(self, epoll: Epoll) -> None:
-        """`epoll`: what it stands in front of."""
+        """`epoll`: the object to wrap."""
         self._epoll = epoll
-        self._late: dict[int, int] = {}  # events by descriptor, as they are still to be set
+        self._pending: dict[int, int] = {}  # descriptor -> events that are still to be set
 
     def fileno(self) -> int:
-        """The descriptor of epoll itself."""
+        """The file descriptor of epoll itself."""
         return self._epoll.fileno()
 
     def close(self) -> None:
@@ -52,53 +53,53 @@
         self._epoll.close()
 
     def register(self, descriptor: int, events: int) -> None:
-        """Watches a descriptor for these events."""
+        """Starts watching a descriptor for `events`."""
         try:
             self._epoll.register(descriptor, events)
-            self._late.pop(descriptor, None)
+            self._pending.pop(descriptor, None)
         except OSError as error:
-            self._keep(descriptor, events, error)
+            self._queue_or_raise(descriptor, events, error)
 
     def modify(self, descriptor: int, events: int) -> None:
-        """Watches it for these events in place of those before."""
-        if descriptor in self._late:
-            self._late[descriptor] = events  # it may not be registered yet
+        """Replaces the events for which a descriptor is watched."""
+        if descriptor in self._pending:
+            self._pending[descriptor] = events  # it may not be registered yet
             return
         try:
             self._epoll.modify(descriptor, events)
         except OSError as error:
-            self._keep(descriptor, events, error)
+            self._queue_or_raise(descriptor, events, error)
 
     def unregister(self, descriptor: int) -> None:
-        """Watches it no more."""
-        if self._late.pop(descriptor, None) is None:
+        """Stops watching a descriptor."""
+        if self._pending.pop(descriptor, None) is None:
             self._epoll.unregister(descriptor)
             return
         try:
             self._epoll.unregister(descriptor)
         except FileNotFoundError:
-            pass  # it never was
-
-    def poll(self, timeout: float, most: int) -> list[tuple[int, int]]:
-        """Waits for so many seconds at most (-1: without end) and gives (descriptor, events) pairs."""
-        if self._late:
-            self._make_changes()
-        if self._late:
-            timeout = AGAIN if timeout < 0 else min(timeout, AGAIN)
-        return self._epoll.poll(timeout, most)
-
-    def _keep(self, descriptor: int, events: int, error: OSError) -> None:
-        if error.errno not in NO_MEMORY:
+            pass  # it was never registered
+
+    def poll(self, timeout: float, max_events: int) -> list[tuple[int, int]]:
+        """Waits up to `timeout` seconds (-1: without limit); returns (descriptor, events) pairs."""
+        if self._pending:
+            self._apply_pending()
+        if self._pending:
+            timeout = RETRY_INTERVAL_S if timeout < 0 else min(timeout, RETRY_INTERVAL_S)
+        return self._epoll.poll(timeout, max_events)
+
+    def _queue_or_raise(self, descriptor: int, events: int, error: OSError) -> None:
+        if error.errno not in OUT_OF_MEMORY_ERRORS:
             raise error
-        self._late[descriptor] = events
+        self._pending[descriptor] = events
 
-    def _make_changes(self) -> None:
-        late, self._late = self._late, {}
-        for descriptor, events in late.items():
+    def _apply_pending(self) -> None:
+        pending, self._pending = self._pending, {}
+        for descriptor, events in pending.items():
             try:
                 self._epoll.modify(descriptor, events)
             except FileNotFoundError:
                 self.register(descriptor, events)
             except OSError as error:
-                if error.errno != errno.EBADF:  # else it was closed meanwhile
-                    self._keep(descriptor, events, error)
+                if error.errno != errno.EBADF:  # EBADF: it was closed in the meantime
+                    self._queue_or_raise(descriptor, events, error)
