--- a/violetsaddle/net/reactor.py
+++ b/violetsaddle/net/reactor.py
@@ -1,9 +1,9 @@
-"""Twisted's epoll reactor with two things less to do for each event.
+"""An epoll reactor that does less work for each event than Twisted's own.
 
-Twisted asks epoll for leave before it writes, and takes the wish back afterwards: two system calls and one
-more turn for each piece that a socket would have taken at once.  Here what an event or the timers have
-written goes out after them, gathered, and epoll is asked only where the kernel did not take all of it.  And
-events are handed on without the context of a logger, which nothing here reads."""
+Before each write, Twisted registers the descriptor with epoll, and unregisters it afterwards: two system
+calls and one more reactor turn, even where the socket could have taken the data at once. Here the data that
+an event or a timer has written is collected and sent right after it. Epoll is used only where the kernel did
+not take everything. Events are dispatched without Twisted's logging context, which nothing here reads."""
 
 from __future__ import annotations
 
@@ -23,30 +23,32 @@
 
 
 class Reactor(_EPoll):  # type: ignore[misc]
-    """`EPollReactor` that writes at the end of a turn; see the module."""
+    """An `EPollReactor` that writes without waiting for epoll; see the module."""
 
-    seconds = staticmethod(monotonic)  # Twisted's own is the wall clock, whose steps would move every timer
+    seconds = staticmethod(
+        monotonic
+    )  # Twisted's default is the wall clock, whose steps would shift every timer
 
     def __init__(self) -> None:
-        """Opens the epoll descriptor, as Twisted's does."""
-        # Writers that wait for the turn's end, in the order in which they asked.
-        self._eager: dict[Any, None] = {}
-        self._polled = self._polled_before = STARTED
+        """Opens the epoll descriptor and wraps it in a `Poller`."""
+        # Writers to be flushed without epoll, in the order in which they were added.
+        self._unflushed: dict[Any, None] = {}
+        self._last_poll_ns = self._previous_poll_ns = STARTED
         super().__init__()
         self._poller = Poller(vars(self)["_poller"])
 
     def behind(self) -> int:
-        """Microseconds for which something may lie unread, at most, on a socket that was looked at before."""
-        return (monotonic_ns() - self._polled_before) // 1000
+        """The longest time, in microseconds, for which data on a polled socket may have been unread."""
+        return (monotonic_ns() - self._previous_poll_ns) // 1000
 
     def listenTCP(self, port: int, factory: Any, backlog: int = 50, interface: str = "") -> Any:
-        """Twisted: accepts connections; raises `CannotListenError`."""
+        """Twisted: listens for TCP connections; raises `CannotListenError`."""
         listening = ListeningPort(port, factory, backlog, interface, self)
         listening.startListening()
         return listening
 
     def adoptStreamPort(self, descriptor: int, family: int, factory: Any) -> Any:
-        """Twisted: accepts connections at a copy of a TCP socket that is bound already."""
+        """Twisted: listens on a duplicate of a TCP socket that is already bound."""
         listening = ListeningPort._fromListeningDescriptor(self, descriptor, family, factory)
         listening.startListening()
         return listening
@@ -54,13 +56,13 @@
     def connectTCP(
         self, host: str, port: int, factory: Any, timeout: float | None = 30, bindAddress: Any = None
     ) -> Any:
-        """Twisted: makes a connection."""
+        """Twisted: opens a TCP connection."""
         connector = Connector(host, port, factory, timeout, bindAddress, self)
         connector.connect()
         return connector
 
     def listenUDP(self, port: int, protocol: Any, interface: str = "", maxPacketSize: int = 8192) -> Any:
-        """Twisted: sends and takes datagrams; raises `CannotListenError`."""
+        """Twisted: sends and receives datagrams; raises `CannotListenError`."""
         bound = DatagramPort(port, protocol, interface, maxPacketSize, self)
         bound.startListening()
         return bound
@@ -68,7 +70,7 @@
     def adoptDatagramPort(
         self, descriptor: int, family: int, protocol: Any, maxPacketSize: int = 8192
     ) -> Any:
-        """Twisted: sends and takes datagrams at a copy of a UDP socket that is bound already."""
+        """Twisted: sends and receives datagrams on a duplicate of a UDP socket that is already bound."""
         bound = DatagramPort._fromListeningDescriptor(
             self, descriptor, family, protocol, maxPacketSize=maxPacketSize
         )
@@ -76,64 +78,68 @@
         return bound
 
     def addWriter(self, writer: Any) -> None:
-        """Twisted: it has something to write; that goes out when the turn ends."""
-        # One that still connects has nothing to write: it waits for the kernel.
+        """Twisted: `writer` has data to write. It is flushed after the current event or the timers."""
+        # A transport that is still connecting has no data: it waits for the kernel.
         if getattr(writer, "connected", False) and writer.fileno() not in self._writes:
-            self._eager[writer] = None
+            self._unflushed[writer] = None
         else:
             super().addWriter(writer)
 
     def removeWriter(self, writer: Any) -> None:
-        """Twisted: it has nothing to write any more."""
-        if writer in self._eager:
-            del self._eager[writer]
+        """Twisted: `writer` has no more data to write."""
+        if writer in self._unflushed:
+            del self._unflushed[writer]
         else:
             super().removeWriter(writer)
 
     def getWriters(self) -> list[Any]:
-        """Twisted: those that wait for epoll and those that wait for the turn's end."""
-        return [*super().getWriters(), *self._eager]
+        """Twisted: the writers that wait for epoll and those that are not flushed yet."""
+        return [*super().getWriters(), *self._unflushed]
 
     def removeAll(self) -> list[Any]:
-        """Twisted: forgets all but its own and gives what it forgot."""
-        eager, self._eager = self._eager, {}
-        return list(dict.fromkeys([*super().removeAll(), *eager]))
+        """Twisted: removes and returns all readers and writers but the reactor's own."""
+        unflushed, self._unflushed = self._unflushed, {}
+        return list(dict.fromkeys([*super().removeAll(), *unflushed]))
 
     def runUntilCurrent(self) -> None:
-        """Runs the timers that are due; then what they have written goes out."""
+        """Twisted: runs the timers that are due, then flushes what they have written."""
         super().runUntilCurrent()
-        if self._eager:
+        if self._unflushed:
             self._flush()
 
     def timeout(self) -> float | None:
-        """Seconds until a timer is due; 0 while something waits to be written."""
-        soonest: float | None = super().timeout()
-        return 0.0 if self._eager else soonest
+        """Twisted: seconds until the next timer is due; 0 while a writer is not flushed yet."""
+        until_timer: float | None = super().timeout()
+        return 0.0 if self._unflushed else until_timer
 
     def _flush(self) -> None:
-        # Those that ask meanwhile wait for the next turn: a producer without end must not hold this one.
-        for writer in list(self._eager):
-            if writer not in self._eager:
+        # Writers added meanwhile wait for the next flush: an endless producer must not block this one.
+        for writer in list(self._unflushed):
+            if writer not in self._unflushed:
                 continue
             try:
                 self._doReadOrWrite(writer, writer.fileno(), self._POLL_OUT)
             except Exception:
                 _log.err()
-                self._eager.pop(writer, None)
-            if writer in self._eager:
-                # It has more than the kernel takes now.
-                del self._eager[writer]
+                self._unflushed.pop(writer, None)
+            if writer in self._unflushed:
+                # The kernel did not take everything.
+                del self._unflushed[writer]
                 super().addWriter(writer)
 
     def doPoll(self, timeout: float | None) -> None:
-        """Twisted: waits up to so many seconds (None: without end) and hands on what has come."""
-        began = monotonic_ns()
+        """Twisted: waits up to `timeout` seconds (None: without limit) and dispatches the events."""
+        started_ns = monotonic_ns()
         try:
             events = self._poller.poll(-1 if timeout is None else timeout, max(1, len(self._selectables)))
         except InterruptedError:
             return
-        # Python looks no more where a signal, as SIGCONT, ends a wait whose time is up.
-        self._polled_before, self._polled = self._polled, monotonic_ns() if events else began
+        # If a signal such as SIGCONT ends a wait whose timeout has passed, Python does not poll again. So
+        # without events, the sockets are only known to be polled as of the start of the wait.
+        self._previous_poll_ns, self._last_poll_ns = (
+            self._last_poll_ns,
+            monotonic_ns() if events else started_ns,
+        )
         for descriptor, event in events:
             selectable = self._selectables.get(descriptor)
             if selectable is not None:
@@ -141,12 +147,12 @@
                     self._doReadOrWrite(selectable, descriptor, event)
                 except Exception:
                     _log.err()
-                if self._eager:
-                    self._flush()  # in a burst it would wait for the work of all
+                if self._unflushed:
+                    self._flush()  # not after the whole batch, which may take long
 
     doIteration = doPoll
 
 
 def install() -> None:
-    """Makes it the program's; raises `twisted.internet.error.ReactorAlreadyInstalledError`."""
+    """Installs the reactor for the process; raises `ReactorAlreadyInstalledError`."""
     _main.installReactor(Reactor())
