--- a/tests/test_cut.py
+++ b/tests/test_cut.py
@@ -1,4 +1,4 @@
-"""Answers that are cut, that never end, or that come twice prove nothing that is not whole."""
+"""Truncated and endless answers of real servers: an incomplete answer proves nothing about a job."""
 
 from __future__ import annotations
 
@@ -8,28 +8,28 @@
 from tests.scenario import SETTINGS, Scenario
 
 ACCEPTED = "HTTP/1.1 202 Accepted\\r\\nContent-Length: 2\\r\\n\\r\\nok"
-TURNED_AWAY = "HTTP/1.1 503 No\\r\\nX-Turned-Away: 1\\r\\nContent-Length: 4\\r\\n\\r\\nfull"
+REJECTED = "HTTP/1.1 503 No\\r\\nX-Turned-Away: 1\\r\\nContent-Length: 4\\r\\n\\r\\nfull"
 ANSWER = "HTTP/1.1 200 OK\\r\\nContent-Length: 4\\r\\n\\r\\ndone"
-ONE_TRY: dict[str, Any] = {"permissions": {**SETTINGS["permissions"], "mostTries": 5}}
+FIVE_TRIES: dict[str, Any] = {"permissions": {**SETTINGS["permissions"], "mostTries": 5}}
 
 
-def cuts(answer: str) -> list[str]:
-    """Each beginning of it that is not the whole."""
+def prefixes(answer: str) -> list[str]:
+    """Every proper prefix of an answer."""
     whole = answer.replace("\\r\\n", "\r\n")
     return [whole[:n].replace("\r\n", "\\r\\n") for n in range(1, len(whole))]
 
 
-class Cut(Scenario):
-    def each(self, answer: str) -> None:
-        """At each byte: the job must neither be sent again nor refused, and the real server is told first."""
-        self.start(ONE_TRY)
-        for n, cut in enumerate(cuts(answer)):
-            if cut.endswith("\r"):
-                continue  # the language can't say half a line's end
+class TruncatedAnswers(Scenario):
+    def truncate_at_each_byte(self, answer: str) -> None:
+        """The job must be neither resent nor refused, and the client is answered only after the DELETE."""
+        self.start(FIVE_TRIES)
+        for n, prefix in enumerate(prefixes(answer)):
+            if prefix.endswith("\r"):
+                continue  # the scenario language can't send half a line ending
             self.play(f"""
                 c send job a{n} settle
                 s expect POST /api | X-Txn: a{n}
-                s send RAW {cut}
+                s send RAW {prefix}
                 s close
                 s expect DELETE /jobs/a{n}
                 s send 204
@@ -37,18 +37,18 @@
             """)
         self.play("node send USR1\nnode expect counters | !outcome_full | !outcome_connect_failed | !faults")
 
-    def test_an_acceptance(self) -> None:
-        self.each(ACCEPTED)
+    def test_truncated_acceptance(self) -> None:
+        self.truncate_at_each_byte(ACCEPTED)
 
-    def test_a_turning_away(self) -> None:
-        self.each(TURNED_AWAY)
+    def test_truncated_rejection(self) -> None:
+        self.truncate_at_each_byte(REJECTED)
 
-    def test_an_answer_of_another_kind(self) -> None:
-        self.each(ANSWER)
+    def test_truncated_unexpected_answer(self) -> None:
+        self.truncate_at_each_byte(ANSWER)
 
-    def test_where_no_length_tells_the_end(self) -> None:
-        # A connection that ended was taken for the end of the answer, and the answer for a proof.
-        self.start(ONE_TRY)
+    def test_truncated_answer_without_a_length(self) -> None:
+        # Guards against taking the end of the connection for the end of a complete answer.
+        self.start(FIVE_TRIES)
         self.play("""
             c send job a settle
             s expect POST /api | X-Txn: a
@@ -59,8 +59,8 @@
             c expect 502
         """)
 
-    def test_a_job_that_is_safe_to_repeat_goes_on_once_the_first_is_told(self) -> None:
-        # The real server may have taken it, and believe that it said so.
+    def test_a_safe_job_is_resent_only_after_its_delete(self) -> None:
+        # The real server may have accepted the job and counts its 202 as sent.
         self.start()
         self.play("""
             c send job a quote
@@ -75,7 +75,7 @@
             c expect 200 | x
         """)
 
-    def test_no_byte_of_an_answer_is_a_reset(self) -> None:
+    def test_a_close_before_any_answer_counts_as_a_reset(self) -> None:
         self.start()
         self.play("""
             c send job a settle
@@ -86,8 +86,8 @@
             node expect counters | outcome_reset=1 | !deletes
         """)
 
-    def test_endless_ones(self) -> None:
-        self.start(ONE_TRY)
+    def test_endless_answers(self) -> None:
+        self.start(FIVE_TRIES)
         for n, head in enumerate(
             (
                 "503 No | X-Turned-Away: 1 | | LONG(2000000)",
@@ -100,7 +100,7 @@
                 c send job a{n} settle
                 s expect POST /api | X-Txn: a{n}
             """)
-            with contextlib.suppress(ConnectionError):  # the node may end it as soon as it is too much
+            with contextlib.suppress(ConnectionError):  # the node may close it at the size limit
                 self.line("s").sock.sendall(self.message("RAW HTTP/1.1 " + head))
             self.play(f"""
                 s expect DELETE /jobs/a{n}
@@ -108,8 +108,8 @@
                 c expect 502
             """)
 
-    def test_a_body_that_never_comes_ends_with_the_jobs_time(self) -> None:
-        self.start(ONE_TRY)
+    def test_a_body_that_never_arrives_ends_at_the_deadline(self) -> None:
+        self.start(FIVE_TRIES)
         self.play("""
             c send POST /api | X-Txn: a | X-Lane: settle | X-Org: acme | X-Remaining: 700m | | body
             s expect POST /api | X-Txn: a
