--- a/violetsaddle/__main__.py
+++ b/violetsaddle/__main__.py
@@ -35,7 +35,7 @@
 from violetsaddle.net.early import SUCCESSOR
 from violetsaddle.net.limits import Limits
 from violetsaddle.net.node import Config, ConfigError, Configurer, Keeper, Node, Upgrades, run, unchanged
-from violetsaddle.net.outlet import Outlet
+from violetsaddle.net.outlet import LogStream
 
 if TYPE_CHECKING:
     from violetsaddle.log import Log
@@ -124,7 +124,7 @@
     except ModuleNotFoundError as error:
         raise ConfigError(f"RELAY_OPERATOR: needs the package {error.name}, which is not installed") from None
     told = operator.load(path)
-    return told.limits_for, log.make(told.log, name, cast(TextIO, Outlet(sys.stderr))), told
+    return told.limits_for, log.make(told.log, name, cast(TextIO, LogStream(sys.stderr))), told
 
 
 def upgrading(
--- a/violetsaddle/net/counters.py
+++ b/violetsaddle/net/counters.py
@@ -8,7 +8,7 @@
 from collections.abc import Callable
 from typing import Protocol
 
-from violetsaddle.net.outlet import Outlet
+from violetsaddle.net.outlet import LogStream
 
 # Maps each renamed counter to its former name.  Operators' tools may read the former names, so the counters
 # line shows the value under both.
@@ -42,7 +42,7 @@
         """`name`: prefix of the lines on standard error; `log`: used instead of standard error."""
         self.name = name
         self._log = log
-        self._outlet = Outlet(sys.stderr)
+        self._stderr = LogStream(sys.stderr)
         self._counts: Counter[str] = Counter()
         self.held: Callable[[], dict[str, int]] = dict  # current gauges, shown with the counts
 
@@ -82,7 +82,7 @@
             self._log.say(text)
             return
         try:
-            print(f"{self.name}: {text}", file=self._outlet, flush=True)
+            print(f"{self.name}: {text}", file=self._stderr, flush=True)
         except OSError:
             pass  # the node keeps serving without a log
 
--- a/violetsaddle/net/outlet.py
+++ b/violetsaddle/net/outlet.py
@@ -1,4 +1,4 @@
-"""Where the log goes: a stream that never holds the program up."""
+"""Non-blocking output stream for the log."""
 
 from __future__ import annotations
 
@@ -6,47 +6,52 @@
 import select
 from typing import TextIO
 
-MOST = 4000  # characters written at once: a pipe that takes anything takes so much
+MAX_WRITE = 4000  # characters; a pipe that polls as writable accepts so many without blocking
 
 
-class Outlet(io.TextIOBase):
-    """Passes on what a stream takes at once and leaves out the rest, which it counts in `left_out`.
+class LogStream(io.TextIOBase):
+    """Writes to a stream if that does not block, and drops the text otherwise.
 
-    Guards against a log that nobody reads: a full pipe would stop the program at its next line."""
+    Without it, a full pipe that nobody reads would block the program at its next log line.  `dropped` counts
+    the writes dropped since the last one that was passed on."""
 
     def __init__(self, stream: TextIO) -> None:
-        """A stream without a descriptor is not asked whether it takes anything."""
-        self._stream, self._held, self.left_out = stream, "", 0
+        """A stream without a file descriptor is always taken as writable."""
+        self._stream = stream
+        self._buffer = ""
+        self.dropped = 0
         self._poll: select.poll | None = None
         try:
             poll = select.poll()
             poll.register(stream.fileno(), select.POLLOUT)
             self._poll = poll
         except (OSError, ValueError, AttributeError):
-            pass  # no descriptor behind it
+            pass  # the stream has no file descriptor
 
     def writable(self) -> bool:
-        """True: it is a text stream to write to."""
+        """Always true, as `io` defines it for a writable stream."""
         return True
 
     def isatty(self) -> bool:
-        """Whether its stream is a terminal."""
+        """Whether the underlying stream is a terminal."""
         return self._stream.isatty()
 
     def write(self, text: str) -> int:
-        """Holds the text until `flush`; gives its length in characters."""
-        self._held += text
+        """Buffers the text until `flush`; returns its length in characters."""
+        self._buffer += text
         return len(text)
 
     def flush(self) -> None:
-        """May raise `OSError` or `ValueError`, as its stream does."""
-        text, self._held = self._held, ""
+        """Writes the buffered text, up to `MAX_WRITE` characters, or drops it if the stream is not writable.
+
+        Raises `OSError` or `ValueError` if the underlying stream does."""
+        text, self._buffer = self._buffer, ""
         if not text:
             return
-        if self._poll is not None and not any(what & select.POLLOUT for _, what in self._poll.poll(0)):
-            self.left_out += 1
+        if self._poll is not None and not any(events & select.POLLOUT for _, events in self._poll.poll(0)):
+            self.dropped += 1
             return
-        if self.left_out:
-            text, self.left_out = f"({self.left_out} lines were left out: nobody read)\n{text}", 0
-        self._stream.write(text if len(text) <= MOST else text[:MOST] + " ...\n")
+        if self.dropped:
+            text, self.dropped = f"({self.dropped} lines were dropped: the log was not read)\n{text}", 0
+        self._stream.write(text if len(text) <= MAX_WRITE else text[:MAX_WRITE] + " ...\n")
         self._stream.flush()
