--- a/tests/test_configuration_node.py
+++ b/tests/test_configuration_node.py
@@ -28,7 +28,13 @@
 from tests.scenario import PATIENCE, SETTINGS, Scenario, address, datagrams, listener
 from violetsaddle.decide.document import baseline_of, digest
 from violetsaddle.decide.subscription import encode
-from violetsaddle.net.configuration import BadAnswerError, Version, packed, parsed, unpacked
+from violetsaddle.net.configuration import (
+    BadAnswerError,
+    Version,
+    decode_snapshot,
+    encode_snapshot,
+    parse_answer,
+)
 from violetsaddle.store.files import DamagedError
 
 BOUND = 8.0  # seconds
@@ -199,7 +205,7 @@
             end = time.monotonic() + PATIENCE
             while not path.exists() and time.monotonic() < end:
                 time.sleep(0.02)
-            self.assertEqual(unpacked(path.read_bytes()).number, 7)
+            self.assertEqual(decode_snapshot(path.read_bytes()).number, 7)
             self.play("""
                 node send TERM
                 node expect exit 0
@@ -593,35 +599,35 @@
     )
     def test_no_body_raises_anything_else(self, body: bytes) -> None:
         try:
-            answer = parsed(200, body)
+            answer = parse_answer(200, body)
         except BadAnswerError:
             return
         self.assertTrue(0 <= answer.number <= 0xFFFFFFFF)
         if answer.version is not None:
             self.assertEqual(digest(answer.version.document), answer.version.digest)
-            self.assertEqual(unpacked(packed(answer.version)), answer.version)
+            self.assertEqual(decode_snapshot(encode_snapshot(answer.version)), answer.version)
 
     def test_a_good_one(self) -> None:
-        answer = parsed(200, json.dumps(self.GOOD).encode())
+        answer = parse_answer(200, json.dumps(self.GOOD).encode())
         self.assertEqual((answer.number, answer.version), (3, Version(3, digest("{}"), "ann", "{}")))
-        self.assertEqual(parsed(200, b'{"number": 0, "digest": ""}').number, 0)
+        self.assertEqual(parse_answer(200, b'{"number": 0, "digest": ""}').number, 0)
         for status in (204, 404, 503):
-            self.assertRaises(BadAnswerError, parsed, status, json.dumps(self.GOOD).encode())
+            self.assertRaises(BadAnswerError, parse_answer, status, json.dumps(self.GOOD).encode())
         for deep in (b"[" * 100_000, b'{"number":' * 50_000):
-            self.assertRaises(BadAnswerError, parsed, 200, deep)
+            self.assertRaises(BadAnswerError, parse_answer, 200, deep)
 
 
 class Snapshots(unittest.TestCase):
     def test_every_damage_is_found(self) -> None:
         text = document()
         version = Version(5, digest(text), "ann", text)
-        data = packed(version)
-        self.assertEqual(unpacked(data), version)
+        data = encode_snapshot(version)
+        self.assertEqual(decode_snapshot(data), version)
         for at in range(0, len(data), 3):
             for changed in (data[:at], data[:at] + bytes((data[at] ^ 1,)) + data[at + 1 :]):
-                self.assertRaises(DamagedError, unpacked, changed)
+                self.assertRaises(DamagedError, decode_snapshot, changed)
         for junk in (b"", b"\xff", b"{}", b"\n[]"):
-            self.assertRaises(DamagedError, unpacked, junk)
+            self.assertRaises(DamagedError, decode_snapshot, junk)
 
 
 if __name__ == "__main__":
--- a/tests/test_configuration_trouble.py
+++ b/tests/test_configuration_trouble.py
@@ -26,7 +26,7 @@
 from violetsaddle.decide.document import MAX_DOCUMENT_BYTES, baseline_of, digest
 from violetsaddle.decide.memory import LearnedState
 from violetsaddle.lab.live.children import TREE
-from violetsaddle.net.configuration import unpacked
+from violetsaddle.net.configuration import decode_snapshot
 from violetsaddle.store import snapshots
 
 Pair = tuple[str, str]
@@ -144,7 +144,10 @@
     def holds(self, node: int, number: int) -> None:
         """Until the node's snapshot is of this version."""
         path = self.snapshot(node)
-        until(lambda: path.exists() and unpacked(path.read_bytes()).number == number, f"snapshot {number}")
+        until(
+            lambda: path.exists() and decode_snapshot(path.read_bytes()).number == number,
+            f"snapshot {number}",
+        )
 
     def heard(self) -> set[str]:
         programs = self.replicas.programs
@@ -277,7 +280,7 @@
         for node in range(4):
             self.assertLessEqual(set(numbers(self.tier.log(node))), {1, 2, 3})
             if node < 2:
-                self.assertIn(unpacked(self.snapshot(node).read_bytes()).number, (2, 3))
+                self.assertIn(decode_snapshot(self.snapshot(node).read_bytes()).number, (2, 3))
             self.tier.again(node)
         writer.join(PATIENCE)
         self.replicas.wait_for_version("c2", 3)
@@ -399,7 +402,7 @@
     def kept(self, node: int) -> tuple[int, str]:
         if not self.snapshot(node).exists():
             return 0, ""
-        version = unpacked(self.snapshot(node).read_bytes())
+        version = decode_snapshot(self.snapshot(node).read_bytes())
         return version.number, version.document
 
 
--- a/violetsaddle/__main__.py
+++ b/violetsaddle/__main__.py
@@ -159,7 +159,7 @@
         return None
     from violetsaddle.net import configuration
 
-    return configuration.configurer(told.configuration)
+    return configuration.subscriber_factory(told.configuration)
 
 
 def main(
--- a/violetsaddle/net/configuration.py
+++ b/violetsaddle/net/configuration.py
@@ -1,7 +1,7 @@
-"""Puts newer settings in force while the node works: asks the replicas that hold them, and tells other nodes.
+"""Applies newer settings while the node runs: polls the configuration replicas and gossips with other nodes.
 
-Wires `decide.subscription` and `decide.document` to the node; imported only where an operator file asks for
-it."""
+Connects `decide.subscription` and `decide.document` to the node.  It is imported only if the operator file
+has a section for it."""
 
 from __future__ import annotations
 
@@ -24,61 +24,61 @@
 from violetsaddle.net.disk import BackgroundRunner, Disk, File, in_thread
 from violetsaddle.net.node import Node
 from violetsaddle.net.peers import Peers
-from violetsaddle.operator import Configuration as Told
+from violetsaddle.operator import Configuration
 from violetsaddle.store.files import DamagedError
 
-MOST_ANSWER = 512 * 1024  # bytes: a document of 64 KiB within JSON
-AT_ONCE = SECOND  # for an answer that the replica does not hold
-MOST_SHOWN = 5  # changes in a log line
-MOST_LINE = 300  # characters
-MOST_NAME = 128
+MAX_ANSWER_BYTES = 512 * 1024  # a document of 64 KiB within JSON
+IMMEDIATE_ANSWER_TIMEOUT = SECOND  # for a poll that the replica must not hold open
+MAX_LOGGED_CHANGES = 5  # in one log line
+MAX_LOG_LINE_LENGTH = 300  # characters
+MAX_NAME_LENGTH = 128  # characters
 
 T = TypeVar("T")
 
 
 class BadAnswerError(Exception):
-    """What a replica gave is no answer; the text is for the log."""
+    """A replica's answer is not valid; the message says why, for the log."""
 
 
 class Version(NamedTuple):
-    """A version; its `digest` is that of `document`, in 32 hexadecimal digits."""
+    """A version of the configuration; `digest` is the digest of `document`, in 32 hexadecimal digits."""
 
-    number: int  # 0: what the node's configuration file holds
+    number: int  # 0: the settings in the node's configuration file
     digest: str
     author: str
     document: str
 
     @property
-    def shown(self) -> str:
-        """As the log names it."""
+    def log_name(self) -> str:
+        """The version as log lines name it."""
         return f"configuration {self.number} by {self.author} ({self.digest[:8]})"
 
 
 class Answer(NamedTuple):
-    """A replica's answer, which is sound."""
+    """A valid answer of a replica."""
 
     number: int
-    version: Version | None  # None: the replica has none that is newer than what was asked after
+    version: Version | None  # None: the replica has no version newer than the one in the poll
 
 
-class Fit(NamedTuple):
-    """A version that this node can take."""
+class ValidatedVersion(NamedTuple):
+    """A version that passed all checks of this node."""
 
     version: Version
-    table: Mapping[str, Any]  # its document's settings
-    told: Settings
+    document_settings: Mapping[str, Any]  # for all nodes, as in the document
+    node_settings: Settings  # for this node
 
 
-def _field(table: Mapping[str, Any], name: str, kind: type[T]) -> T:
+def _read_field(table: Mapping[str, Any], name: str, kind: type[T]) -> T:
     value = table.get(name)
     if not isinstance(value, kind) or isinstance(value, bool):
         raise BadAnswerError(f"{name} is missing or of another type")
     return value
 
 
-def _version(table: Mapping[str, Any]) -> Version:
-    number, digest = _field(table, "number", int), _field(table, "digest", str)
-    author, text = _field(table, "author", str), _field(table, "document", str)
+def _read_version(table: Mapping[str, Any]) -> Version:
+    number, digest = _read_field(table, "number", int), _read_field(table, "digest", str)
+    author, text = _read_field(table, "author", str), _read_field(table, "document", str)
     if not 0 < number <= subscription.MAX_VERSION_NUMBER:
         raise BadAnswerError("its number is out of range")
     if document.digest(text) != digest:
@@ -86,261 +86,271 @@
     return Version(number, digest, author, text)
 
 
-def parsed(status: int, body: bytes) -> Answer:
-    """A replica's answer; raises `BadAnswerError`."""
+def parse_answer(status: int, body: bytes) -> Answer:
+    """Returns the answer in a replica's response; raises `BadAnswerError` if it is not valid."""
     if status != 200:
         raise BadAnswerError(f"status {status}")
     try:
         table = json.loads(body)
     except (ValueError, RecursionError):
-        raise BadAnswerError("no JSON") from None
+        raise BadAnswerError("the body is not JSON") from None
     if not isinstance(table, dict):
-        raise BadAnswerError("no JSON object")
+        raise BadAnswerError("the body is not a JSON object")
     if "document" not in table:
-        number = _field(table, "number", int)
+        number = _read_field(table, "number", int)
         if not 0 <= number <= subscription.MAX_VERSION_NUMBER:
             raise BadAnswerError("its number is out of range")
         return Answer(number, None)
     try:
-        version = _version(table)
-    except BadAnswerError as wrong:
-        raise BadVersionError(f"configuration {table.get('number')!r}", str(wrong)) from None
+        version = _read_version(table)
+    except BadAnswerError as error:
+        raise BadVersionError(f"configuration {table.get('number')!r}", str(error)) from None
     return Answer(version.number, version)
 
 
 class BadVersionError(BadAnswerError):
-    """An answer with a version that is damaged."""
+    """An answer contains a damaged version."""
 
-    def __init__(self, which: str, why: str) -> None:
-        """`which`: the version as the log names it."""
-        super().__init__(why)
-        self.which = which
+    def __init__(self, version_name: str, reason: str) -> None:
+        """`version_name`: the version as log lines name it."""
+        super().__init__(reason)
+        self.version_name = version_name
 
 
-def plain(text: str) -> str:
-    """A name as replicas take it: without spaces and control characters, not long; quoted for a query."""
-    return quote("".join(c if c.isprintable() and c != " " else "_" for c in text[:MOST_NAME]), "")
+def quote_name(text: str) -> str:
+    """Returns a name in the form that replicas accept, quoted for a query string.
 
+    It is cut to `MAX_NAME_LENGTH`; spaces and characters that can't be printed become underscores."""
+    return quote("".join(c if c.isprintable() and c != " " else "_" for c in text[:MAX_NAME_LENGTH]), "")
 
-def packed(version: Version) -> bytes:
-    """The snapshot file: a checksum in hexadecimal digits, a line's end, JSON."""
+
+def encode_snapshot(version: Version) -> bytes:
+    """Returns the content of the snapshot file: a checksum in hexadecimal digits, a line feed, and JSON."""
     text = json.dumps(version._asdict())
     return f"{document.digest(text)}\n{text}".encode("utf-8", "surrogatepass")
 
 
-def unpacked(data: bytes) -> Version:
-    """Raises `DamagedError`."""
+def decode_snapshot(data: bytes) -> Version:
+    """Returns the version in a snapshot file; raises `DamagedError` if the file is damaged."""
     try:
         checksum, _, text = data.decode("utf-8").partition("\n")
         if document.digest(text) != checksum:
             raise DamagedError("its checksum is wrong")
-        return _version(json.loads(text))
-    except (ValueError, RecursionError, AttributeError, BadAnswerError) as wrong:
-        raise DamagedError(f"it can't be read: {wrong}"[:200]) from None
+        return _read_version(json.loads(text))
+    except (ValueError, RecursionError, AttributeError, BadAnswerError) as error:
+        raise DamagedError(f"it can't be read: {error}"[:200]) from None
+
 
+def subscriber_factory(options: Configuration) -> Callable[[Node], Subscriber]:
+    """Returns the function by which `Node` makes its `Subscriber`.
 
-def configurer(told: Told) -> Callable[[Node], Subscriber]:
-    """What `Node` makes its configurer with, for the section of an operator file."""
+    `options`: the section of the operator file."""
 
     def make(node: Node) -> Subscriber:
-        return Subscriber(node, told, File(told.snapshot) if told.snapshot else None, in_thread(node.reactor))
+        return Subscriber(
+            node, options, File(options.snapshot) if options.snapshot else None, in_thread(node.reactor)
+        )
 
     return make
 
 
 class Subscriber:
-    """Implements `node.Configurer`."""
+    """Polls the replicas, applies newer versions and gossips about them.  Implements `node.Configurer`."""
 
-    def __init__(self, node: Node, told: Told, disk: Disk | None, elsewhere: BackgroundRunner) -> None:
-        """`disk`: where the newest version is kept, None for nowhere; `elsewhere`: what writes it."""
-        self._node, self._told, self._disk, self._elsewhere = node, told, disk, elsewhere
+    def __init__(
+        self, node: Node, options: Configuration, disk: Disk | None, background: BackgroundRunner
+    ) -> None:
+        """`disk`: keeps the newest version, None: not kept; `background`: runs the writes to it."""
+        self._node, self._options, self._disk, self._background = node, options, disk, background
         config = node.config
         self._baseline = document.baseline_of(config.settings)
-        self._table: Mapping[str, Any] = self._baseline  # of the version in force
-        self.version = Version(0, "", "", "")  # in force
+        self._document_settings: Mapping[str, Any] = self._baseline  # of the applied version
+        self.version = Version(0, "", "", "")  # the applied one
         self._random = Random()
-        self._addresses = told.addresses
+        self._addresses = options.addresses
         self._rules = subscription.Rules(
-            len(self._addresses), config.told.schedulers, told.watch_wait_ms * MS
+            len(self._addresses), config.told.schedulers, options.watch_wait_ms * MS
         )
-        self._state: State | None = None  # None: it has not begun
-        self._wake: Deadline | None = None
-        self._round = 0  # a call that was abandoned must not speak for the present one
-        self._running: Deferred[None] | None = None
+        self._state: State | None = None  # None: `begin` was not called yet
+        self._wake_deadline: Deadline | None = None
+        self._call_number = 0  # results of a cancelled call must not count for the current one
+        self._running_call: Deferred[None] | None = None
         self._connection: ServerConnection | None = None
-        self._connected: tuple[str, int] | None = None  # where
-        self._refused: tuple[int, str] | None = None  # number and key of the last version that was not fit
-        self._said = ""
-        self._written = 0  # number on the disk
-        self._writing = self._failing = False
+        self._connected_address: tuple[str, int] | None = None
+        self._last_refused: tuple[int, str] | None = None  # version number, and the key at fault
+        self._last_log_line = ""
+        self._written_number = 0  # of the version on the disk
+        self._write_running = self._write_failing = False
         self._peers: Peers | None = None
-        tier = min(config.told.schedulers, len(config.peers))
-        self._neighbours = subscription.neighbours(config.told.me, tier, told.gossip_peers)
+        node_count = min(config.told.schedulers, len(config.peers))
+        self._neighbours = subscription.neighbours(config.told.me, node_count, options.gossip_peers)
 
-    # What the node calls.
+    # Called by the node.
 
     def begin(self) -> None:
-        """Puts what the disk holds in force; nothing is accepted yet."""
+        """Applies the snapshot on the disk, before the node accepts connections."""
         node = self._node
         try:
             data = self._disk.read() if self._disk is not None else None
             if data is not None:
-                self._put(self._fit(unpacked(data)))
-                self._written = self.version.number
+                self._apply(self._validate(decode_snapshot(data)))
+                self._written_number = self.version.number
         except DamagedError as error:
-            self._say(f"configuration: the snapshot is not used: {error}")
+            self._log_once(f"configuration: the snapshot is not used: {error}")
         except (document.DocumentError, SettingsError) as error:
-            self._say(f"configuration: the snapshot is not used: it is for another site: {error}")
-        except Exception as error:  # guards against a fault of ours: the replicas have it too
+            self._log_once(f"configuration: the snapshot is not used: it is for another site: {error}")
+        except Exception as error:  # A bug here must not stop the start: the replicas have the version too.
             node.counters.fault("configuration: the snapshot is not used", error)
         now, me = node.deadlines.now(), node.config.told.me
         self._state = subscription.initial_state(self._rules, me, self.version.number, now)
 
     def follow(self) -> None:
-        """Asks and tells from now on."""
-        self._arm()
-        every = self._told.gossip_every_ms * MS
-        self._node.deadlines.after(int(every * self._random.random()), self._again)
+        """Starts to poll the replicas and to gossip."""
+        self._schedule_wake()
+        interval = self._options.gossip_every_ms * MS
+        self._node.deadlines.after(int(interval * self._random.random()), self._repeat)
 
     def meet(self, peers: Peers) -> None:
-        """Peers can be heard and told."""
-        before = peers.aside
+        """Takes the channel to the peers; its datagrams are offered to this object first."""
+        previous = peers.aside
         self._peers = peers
         peers.aside = lambda origin, data: (
-            self._heard(origin, data) or (before is not None and before(origin, data))
+            self._receive_gossip(origin, data) or (previous is not None and previous(origin, data))
         )
 
     def stop(self) -> None:
-        """The node ends: nothing is asked or told any more."""
+        """Stops polling and gossip; called when the node ends."""
         self._step(EventType.STOP)
 
-    # The state, and what it asks for.
+    # The state machine and its actions.
 
-    def _step(self, word: EventType, number: int = 0, fit: Fit | None = None) -> None:
+    def _step(self, event: EventType, number: int = 0, validated: ValidatedVersion | None = None) -> None:
         if self._state is None:
             return
-        now, drawn = self._node.deadlines.now(), self._random.random()
-        made = subscription.step(self._state, self._rules, word, now, drawn, number)
-        self._state = made.state
-        if made.cancel_poll:
-            self._abandon()
-        if made.apply and fit is not None:
-            self._put(fit)
-            self._tell()
+        now, random = self._node.deadlines.now(), self._random.random()
+        step = subscription.step(self._state, self._rules, event, now, random, number)
+        self._state = step.state
+        if step.cancel_poll:
+            self._cancel_call()
+        if step.apply and validated is not None:
+            self._apply(validated)
+            self._send_gossip()
             self._save()
-        if made.poll is not None:
-            self._call(made.poll)
-        self._arm()
+        if step.poll is not None:
+            self._start_call(step.poll)
+        self._schedule_wake()
 
-    def _arm(self) -> None:
+    def _schedule_wake(self) -> None:
         deadlines, state = self._node.deadlines, self._state
-        deadlines.drop(self._wake)
-        self._wake = deadlines.add(state.due, self._due) if state is not None and state.due else None
+        deadlines.drop(self._wake_deadline)
+        self._wake_deadline = (
+            deadlines.add(state.due, self._on_wake) if state is not None and state.due else None
+        )
 
-    def _due(self) -> None:
+    def _on_wake(self) -> None:
         self._step(EventType.WAKE)
 
-    def _say(self, text: str) -> None:
-        """A line, unless it was the last one."""
-        shown = "".join(c if c.isprintable() else ascii(c)[1:-1] for c in text[:MOST_LINE])
-        if shown != self._said:
-            self._said = shown
-            self._node.counters.say(shown)
+    def _log_once(self, text: str) -> None:
+        """Logs a line, unless it is the same as the last one."""
+        line = "".join(c if c.isprintable() else ascii(c)[1:-1] for c in text[:MAX_LOG_LINE_LENGTH])
+        if line != self._last_log_line:
+            self._last_log_line = line
+            self._node.counters.say(line)
 
     # Versions.
 
-    def _fit(self, version: Version) -> Fit:
-        """Raises `DocumentError` or `SettingsError`."""
+    def _validate(self, version: Version) -> ValidatedVersion:
+        """Checks a version for this node; raises `DocumentError` or `SettingsError`."""
         config = self._node.config
-        table = document.check(self._baseline, version.document)
-        own = document.for_node(version.document, config.told.me, config.told.zone)
-        told = settings.read(own)[1]
-        config.told.check_change(told)
-        return Fit(version, table, told)
+        document_settings = document.check(self._baseline, version.document)
+        node_document = document.for_node(version.document, config.told.me, config.told.zone)
+        node_settings = settings.read(node_document)[1]
+        config.told.check_change(node_settings)
+        return ValidatedVersion(version, document_settings, node_settings)
 
-    def _put(self, fit: Fit) -> None:
+    def _apply(self, validated: ValidatedVersion) -> None:
         node = self._node
-        node.reconfigure(fit.told)
-        found = document.changes(self._table, fit.table)
-        self.version, self._table = fit.version, fit.table
-        node.counters.most("configuration_number", fit.version.number)
+        node.reconfigure(validated.node_settings)
+        changes = document.changes(self._document_settings, validated.document_settings)
+        self.version, self._document_settings = validated.version, validated.document_settings
+        node.counters.most("configuration_number", validated.version.number)
         node.counters.add("configurations_applied")
-        shown = found[:MOST_SHOWN] or ["nothing else than before"]
-        more = [f"and {len(found) - MOST_SHOWN} more"] if len(found) > MOST_SHOWN else []
-        self._say(f"{fit.version.shown} is in force: {', '.join(shown + more)}")
+        logged = changes[:MAX_LOGGED_CHANGES] or ["nothing else than before"]
+        more = [f"and {len(changes) - MAX_LOGGED_CHANGES} more"] if len(changes) > MAX_LOGGED_CHANGES else []
+        self._log_once(f"{validated.version.log_name} is in force: {', '.join(logged + more)}")
 
     # Calls.
 
-    def _call(self, ask: Poll) -> None:
-        self._round += 1
-        self._running = Deferred.fromCoroutine(self._ask(ask, self._round))
-        self._running.addErrback(self._faulty, self._round)
+    def _start_call(self, poll: Poll) -> None:
+        self._call_number += 1
+        self._running_call = Deferred.fromCoroutine(self._poll(poll, self._call_number))
+        self._running_call.addErrback(self._call_raised, self._call_number)
 
-    def _abandon(self) -> None:
-        self._round += 1
-        running, self._running = self._running, None
+    def _cancel_call(self) -> None:
+        self._call_number += 1
+        running, self._running_call = self._running_call, None
         if running is not None:
             running.cancel()
-        self._hang_up()
+        self._close_connection()
 
-    def _hang_up(self) -> None:
+    def _close_connection(self) -> None:
         if self._connection is not None:
             self._connection.transport.abortConnection()
             self._connection = None
 
-    def _faulty(self, reason: Reason, round: int) -> None:
-        """A fault of our own is a failed call too."""
+    def _call_raised(self, reason: Reason, call_number: int) -> None:
+        """Counts an exception that only a bug can raise as a failed call too."""
         self._node.counters.fault("the call for a configuration failed", reason.value)
-        if round == self._round:
-            self._failed()
+        if call_number == self._call_number:
+            self._call_failed()
 
-    def _failed(self) -> None:
+    def _call_failed(self) -> None:
         self._node.counters.add("configuration_failed")
-        self._hang_up()
+        self._close_connection()
         self._step(EventType.FAILED)
 
-    async def _ask(self, ask: Poll, round: int) -> None:
-        at = self._addresses[ask.replica]
+    async def _poll(self, poll: Poll, call_number: int) -> None:
+        address = self._addresses[poll.replica]
         try:
-            message = await self._exchange(ask, at)
-            answer = parsed(message.status, bytes(message.body))
+            message = await self._exchange(poll, address)
+            answer = parse_answer(message.status, bytes(message.body))
         except (NotConnectedError, BrokenError, CancelledError, BadAnswerError) as error:
-            if round != self._round:
+            if call_number != self._call_number:
                 return
             if isinstance(error, BadVersionError):
                 self._node.counters.add("configurations_refused")
-                self._say(f"{error.which} from {at[0]}:{at[1]}: {error}")
-            self._failed()
+                self._log_once(f"{error.version_name} from {address[0]}:{address[1]}: {error}")
+            self._call_failed()
             return
-        if round == self._round:
-            self._take(answer)
+        if call_number == self._call_number:
+            self._handle_answer(answer)
 
-    async def _exchange(self, ask: Poll, at: tuple[str, int]) -> http.Message:
-        node, told = self._node, self._told
-        if self._connection is None or not self._connection.open or self._connected != at:
-            self._hang_up()
+    async def _exchange(self, poll: Poll, address: tuple[str, int]) -> http.Message:
+        node, options = self._node, self._options
+        if self._connection is None or not self._connection.open or self._connected_address != address:
+            self._close_connection()
             self._connection = await dial(
                 node.reactor,
                 node.deadlines,
                 node.limits.dial,
-                *at,
-                lambda: ServerConnection(node.limits, lambda _: None, MOST_ANSWER),
+                *address,
+                lambda: ServerConnection(node.limits, lambda _: None, MAX_ANSWER_BYTES),
             )
-            self._connected = at
-        wait = told.watch_wait_ms if ask.hold else 0
-        target = f"/configuration?after={ask.after}&wait_ms={wait}&node={plain(node.config.name)}"
-        if self._refused is not None and self._refused[0] > ask.after:
-            target += f"&refused={self._refused[0]}&why={plain(self._refused[1])}"
+            self._connected_address = address
+        wait = options.watch_wait_ms if poll.hold else 0
+        target = f"/configuration?after={poll.after}&wait_ms={wait}&node={quote_name(node.config.name)}"
+        if self._last_refused is not None and self._last_refused[0] > poll.after:
+            target += f"&refused={self._last_refused[0]}&why={quote_name(self._last_refused[1])}"
         node.counters.add("configuration_calls")
-        calling = self._connection.exchange([http.request("GET", target, f"{at[0]}:{at[1]}")])
-        limit = (wait + told.watch_grace_ms) * MS if ask.hold else AT_ONCE
-        late = node.deadlines.after(limit, calling.cancel)
+        response = self._connection.exchange([http.request("GET", target, f"{address[0]}:{address[1]}")])
+        timeout = (wait + options.watch_grace_ms) * MS if poll.hold else IMMEDIATE_ANSWER_TIMEOUT
+        deadline = node.deadlines.after(timeout, response.cancel)
         try:
-            return await calling
+            return await response
         finally:
-            node.deadlines.drop(late)
+            node.deadlines.drop(deadline)
 
-    def _take(self, answer: Answer) -> None:
+    def _handle_answer(self, answer: Answer) -> None:
         state, version = self._state, answer.version
         if state is None:
             return
@@ -351,53 +361,54 @@
             if answer.number < state.seen:
                 self._node.counters.add("configuration_behind")
             elif version is not None or answer.number > state.seen:
-                self._node.counters.add("configuration_failed")  # this is none to what was asked
+                self._node.counters.add("configuration_failed")  # not an answer to this poll
             self._step(EventType.NO_VERSION if version is None else EventType.NEW_VERSION, answer.number)
             return
         try:
-            fit = self._fit(version)
+            validated = self._validate(version)
         except (document.DocumentError, SettingsError) as error:
             key = error.key if isinstance(error, document.DocumentError) else str(error)
             self._node.counters.add("configurations_refused")
-            self._refused = version.number, key or "document"
-            self._say(f"{version.shown} refused: {error}")
+            self._last_refused = version.number, key or "document"
+            self._log_once(f"{version.log_name} refused: {error}")
             self._step(EventType.UNUSABLE_VERSION, version.number)
             return
-        self._step(EventType.NEW_VERSION, version.number, fit)
+        self._step(EventType.NEW_VERSION, version.number, validated)
 
-    # Snapshots.
+    # The snapshot.
 
     def _save(self) -> None:
-        """Writes what is in force, unless it is on the disk or another process of this node serves, whose
-        file it is."""
+        """Writes the applied version, unless it is on the disk already.
+
+        While the node is paused, another process serves for this node, and the file belongs to that."""
         disk, version, node = self._disk, self.version, self._node
-        if disk is None or self._writing or node.paused or self._written >= version.number:
+        if disk is None or self._write_running or node.paused or self._written_number >= version.number:
             return
-        self._writing, data = True, packed(version)
-        self._elsewhere(lambda: disk.write(data), lambda error: self._saved(version.number, error))
-
-    def _saved(self, number: int, error: Exception | None) -> None:
-        self._writing = False
-        if error is not None:  # `_again` tries again
-            if not self._failing:
-                why = getattr(error, "strerror", None) or f"{type(error).__name__}: {error}"
-                self._say(f"configuration: the snapshot can't be written: {why}")
-            self._failing = True
+        self._write_running, data = True, encode_snapshot(version)
+        self._background(lambda: disk.write(data), lambda error: self._save_finished(version.number, error))
+
+    def _save_finished(self, number: int, error: Exception | None) -> None:
+        self._write_running = False
+        if error is not None:  # `_repeat` retries
+            if not self._write_failing:
+                reason = getattr(error, "strerror", None) or f"{type(error).__name__}: {error}"
+                self._log_once(f"configuration: the snapshot can't be written: {reason}")
+            self._write_failing = True
             return
-        self._failing, self._written = False, number
+        self._write_failing, self._written_number = False, number
         self._save()
 
     # Peers.
 
-    def _again(self) -> None:
-        """What is repeated: words to the peers may be lost, and the disk may have failed."""
+    def _repeat(self) -> None:
+        """Repeats gossip and snapshot at an interval: datagrams may be lost, and a write may have failed."""
         if self._state is not None and self._state.phase is Phase.STOPPED:
             return
-        self._node.deadlines.after(self._told.gossip_every_ms * MS, self._again)
-        self._tell()
+        self._node.deadlines.after(self._options.gossip_every_ms * MS, self._repeat)
+        self._send_gossip()
         self._save()
 
-    def _tell(self) -> None:
+    def _send_gossip(self) -> None:
         peers, version = self._peers, self.version
         if peers is None or not version.number or self._node.paused:
             return
@@ -406,14 +417,14 @@
             self._node.counters.add("configuration_told")
             peers.say(number, data)
 
-    def _heard(self, origin: int, data: bytes) -> bool:
-        """A datagram from a peer; whether it is one of these."""
-        told = subscription.decode(data)
-        if told is None:
+    def _receive_gossip(self, origin: int, data: bytes) -> bool:
+        """Handles a datagram from a peer; returns whether it is gossip about a configuration."""
+        advertised = subscription.decode(data)
+        if advertised is None:
             return False
-        number, digest = told
+        number, digest = advertised
         self._node.counters.add("configuration_heard")
         if number == self.version.number and number and digest != self.version.digest[:16]:
-            self._say(f"configuration {number} is another one at node {origin}")
+            self._log_once(f"configuration {number} is another one at node {origin}")
         self._step(EventType.ADVERTISED, number)
         return True
