--- a/tests/test_start.py
+++ b/tests/test_start.py
@@ -175,7 +175,7 @@
             self.run_program("""
             import sys
             from violetsaddle.net import lean
-            del lean.NAMES["asyncio"]["AbstractEventLoop"], lean.NAMES["html"]["escape"]
+            del lean.LAZY_NAMES["asyncio"]["AbstractEventLoop"], lean.LAZY_NAMES["html"]["escape"]
             lean.load()
             import asyncio, html
             from twisted.internet import defer
--- a/violetsaddle/net/early.py
+++ b/violetsaddle/net/early.py
@@ -1,7 +1,8 @@
-"""Listens before the program's imports, which are most of a start.
+"""Opens the listening socket before the program's imports, which take most of the start time.
 
-From then on the kernel takes connections, and their requests wait in the backlog until the node reads them:
-clients wait for a moment instead of being refused.  A start that fails after this resets them."""
+From then on the kernel accepts connections, and their requests wait in the backlog until the node reads them:
+clients wait for a moment instead of being refused.  If the start fails later, these connections are
+reset."""
 
 from __future__ import annotations
 
@@ -10,24 +11,26 @@
 import socket
 from time import monotonic_ns
 
-STARTED = monotonic_ns()  # nothing that came in at the kernel was read before
-SUCCESSOR = "VIOLETSADDLE_SUCCESSOR"  # names the descriptor that a successor gets from the process it follows
+STARTED = monotonic_ns()  # ns; the process read nothing from any socket before this time
+# Environment variable with the file descriptor that a successor inherits from the process it replaces.
+SUCCESSOR = "VIOLETSADDLE_SUCCESSOR"
 
 
 def listen(backlog: int = 511) -> socket.socket | None:
-    """The node's listener; None where it can't be had so early.
+    """Returns the node's listening socket; None if it can't be opened this early.
 
-    Nothing is reported here: what is wrong with the configuration or the address comes up again when the node
-    reads it and listens, and is told there.  A process that follows another gets its sockets from that."""
+    `backlog`: the most connections that wait to be accepted.  Errors are not reported here: the node meets an
+    error in the configuration or the address again when it reads the configuration and listens, and reports
+    it then.  A process that replaces another one inherits its sockets, so it gets None too."""
     if SUCCESSOR in os.environ:
         return None
     try:
-        told = os.environ.get("RELAY_LISTEN")
-        if not told:
+        address = os.environ.get("RELAY_LISTEN")
+        if not address:
             with open(os.environ["RELAY_CONFIG"], encoding="utf-8") as file:
-                told = json.load(file)["listen"]
-        host, _, port = told.rpartition(":")
-        # A name would have to be looked up, and the node takes a port that is free by itself.
+                address = json.load(file)["listen"]
+        host, _, port = address.rpartition(":")
+        # Only numeric addresses: a host name needs a lookup.  Port 0, any free port, is left to the node.
         socket.inet_pton(socket.AF_INET, host)
         if not 0 < int(port) < 65536:
             return None
