--- a/tests/test_failed_calls.py
+++ b/tests/test_failed_calls.py
@@ -57,9 +57,8 @@
         port = self.port_of(line.name)
         self.fails(f"recv ETIMEDOUT {port} 0 1", f"connect ENETUNREACH {port} 0 -1")
         line.sock.sendall(self.message("202"))
-        self.assert_nothing_received(
-            other, 0.06
-        )  # the attempt would be given up after 80 ms if no start were reported
+        # Below the 80 ms after which the attempt would be given up if no start were reported.
+        self.assert_nothing_received(other, 0.06)
         self.fails()
         self.play("of-a call+ a done result=x\nc expect 200 | x")
 
