--- a/tests/test_configuration_node.py
+++ b/tests/test_configuration_node.py
@@ -1,4 +1,4 @@
-"""Newer settings at work: real nodes, and replicas of the configuration that the test holds."""
+"""Changes of the configuration at run time, with real node processes and replicas that the test serves."""
 
 from __future__ import annotations
 
@@ -37,8 +37,8 @@
 )
 from violetsaddle.store.files import DamagedError
 
-BOUND = 8.0  # seconds
-PR_SET_PDEATHSIG = 1
+BOUND = 8.0  # seconds; a change is applied at every node in less
+PR_SET_PDEATHSIG = 1  # of prctl(2): the signal that a child gets when its parent dies
 TIER = {
     **SETTINGS,
     "permissions": {**SETTINGS["permissions"], "mayTell": True},
@@ -47,26 +47,27 @@
 
 
 def document(settings: dict[str, Any] | None = None, **permissions: Any) -> str:
-    """A document that changes the settings' permissions."""
+    """Returns a document with the settings, and these permissions changed."""
     table = copy.deepcopy(baseline_of(settings or SETTINGS))
     table["permissions"].update(permissions)
     return json.dumps(table)
 
 
-def section(*replicas: Replica | str, **more: Any) -> str:
-    places = [replica if isinstance(replica, str) else replica.address for replica in replicas]
-    lines = [f"{name} = {json.dumps(value)}" for name, value in {"replicas": places, **more}.items()]
+def section(*replicas: Replica | str, **options: Any) -> str:
+    """Returns the section `[configuration]` of an operator file."""
+    addresses = [replica if isinstance(replica, str) else replica.address for replica in replicas]
+    lines = [f"{name} = {json.dumps(value)}" for name, value in {"replicas": addresses, **options}.items()]
     return "[configuration]\n" + "\n".join(lines) + "\n"
 
 
-class Alone(Scenario):
-    """One node."""
+class SingleNode(Scenario):
+    """One node process, and replicas that are closed after the test."""
 
     def replicas(self, count: int = 1) -> list[Replica]:
-        made = [Replica() for _ in range(count)]
-        for replica in made:
+        created = [Replica() for _ in range(count)]
+        for replica in created:
             self.addCleanup(replica.close)
-        return made
+        return created
 
     def counters(self) -> dict[str, int]:
         os.kill(self.program.pid, signal.SIGUSR1)
@@ -74,7 +75,7 @@
         return {k: int(v) for k, v in re.findall(r"(\w+)=(\d+)", line)}
 
 
-class One(Alone):
+class One(SingleNode):
     def test_a_version_is_put_in_force_and_the_next_too(self) -> None:
         (replica,) = self.replicas()
         self.start(operator=section(replica))
@@ -111,19 +112,19 @@
         replica.push(1, document(mostTries=1))
         self.log("configuration 1 by ann")
 
-        # A digest that is not the document's: nothing is judged, the right one is taken.
+        # A wrong digest: the document is not checked, and the version is applied once its digest is right.
         replica.push(2, document(mostTries=2), wrong_digest="0" * 32)
         self.log("configuration 2 from", "its digest is another")
         replica.push(2, document(mostTries=2))
         self.log("configuration 2 by ann", "in force")
-        # An answer that is cut.
+        # A truncated answer.
         replica.set(truncated_bytes=3)
         replica.push(3, document(mostTries=4))
         time.sleep(0.5)
         replica.set(truncated_bytes=0)
         self.log("configuration 3 by ann", "in force")
-        # A document that was cut before its digest was made, and one that changes a fixed key: both are
-        # refused for good, and the replica is told why.
+        # A document that was truncated before its digest was computed, and one that changes a key that may
+        # not change: both are refused for good, and the node tells the replica why.
         replica.push(4, document(mostTries=5)[:-20])
         self.log("configuration 4 by ann", "refused: expected JSON")
         replica.wait_for_call(PATIENCE, after="3", refused="4", why="document")
@@ -134,7 +135,7 @@
         replica.push(1, document(mostTries=1))
         replica.set(calls=[])
         replica.wait_for_call(PATIENCE, refused="5")
-        time.sleep(0.5)  # it is answered when its wait is over
+        time.sleep(0.5)  # the replica answers when the wait of the poll is over
         replica.push(6, document(mostTries=6))
         self.log("configuration 6 by ann", "mostTries 4 -> 6")
         self.assertNotIn("in force", "".join(self.seen[:-1]))
@@ -147,7 +148,7 @@
 
     def test_a_replica_that_is_behind_is_left(self) -> None:
         behind, other = self.replicas(2)
-        # By its ordinal a node asks the first of them first.
+        # The ordinal of this node makes it poll the first replica first.
         self.start(operator=section(behind, other, watch_wait_ms=8000))
         other.push(1, document(mostTries=1))
         behind.push(1, document(mostTries=1))
@@ -155,7 +156,7 @@
         behind.wait_for_call(PATIENCE, after="1")
         began = time.monotonic()
         other.push(2, document(mostTries=2))
-        behind.push(0, document())  # lost its store: its next answer is of an older number
+        behind.push(0, document())  # as if its store were lost: its next answer has an older number
         self.log("configuration 2 by ann")
         self.assertLess(time.monotonic() - began, 10.0)
 
@@ -172,11 +173,13 @@
         self.assertGreaterEqual(self.counters()["configuration_failed"], 1)
 
     def test_without_any_replica_it_serves_on(self) -> None:
-        held = [socket.socket() for _ in range(3)]  # bound, and not listening: connections are refused
-        for sock in held:
+        closed_ports = [
+            socket.socket() for _ in range(3)
+        ]  # bound, and not listening: connections are refused
+        for sock in closed_ports:
             self.addCleanup(sock.close)
             sock.bind(("127.0.0.1", 0))
-        self.start(operator=section(*map(address, held)))
+        self.start(operator=section(*map(address, closed_ports)))
         self.play("""
             c send job a quote
             s expect X-Txn: a
@@ -219,7 +222,8 @@
             counts = self.counters()
             self.assertEqual([counts["configuration_number"], counts["configurations_applied"]], [7, 1])
             self.assertGreaterEqual(counts["configuration_behind"], 1)
-            # A damaged one: it begins with its configuration file, and takes what there is.
+            # A damaged snapshot: the node starts with its configuration file, and then applies the version of
+            # the replica.
             self.play("""
                 node send TERM
                 node expect exit 0
@@ -291,11 +295,12 @@
 
 
 class Peer(Scenario):
-    """One node, and another that the test speaks for."""
+    """One node, and a peer whose datagrams the test sends and reads."""
 
     SETTINGS = {"permissions": {**SETTINGS["permissions"], "mayTell": True}, "siblings": 2}
 
-    def word(self, number: int) -> str:
+    def gossip(self, number: int) -> str:
+        """Returns a datagram that advertises a version, in hexadecimal digits."""
         return encode(number, "ab" * 16).hex()
 
     def test_it_hears_of_a_newer_one_by_gossip_alone(self) -> None:
@@ -309,11 +314,11 @@
         time.sleep(0.5)
         self.assertEqual(replicas[1].calls, [])
         began = time.monotonic()
-        self.do_send("p", self.word(4), False)
+        self.do_send("p", self.gossip(4), False)
         self.log("configuration 4 by ann")
         self.assertLess(time.monotonic() - began, 2.0)
         replicas[1].wait_for_call(1.0, after="0", wait_ms="0")
-        self.do_expect("p", "^43" + f"{4:08x}", False)  # and it tells of it itself
+        self.do_expect("p", "^43" + f"{4:08x}", False)  # and it gossips about the version too
 
     def test_a_word_of_what_no_replica_has_costs_little(self) -> None:
         replicas = [Replica(), Replica()]
@@ -322,7 +327,7 @@
         self.start(self.SETTINGS, operator=section(*replicas, watch_wait_ms=500))
         replicas[0].wait_for_call(PATIENCE, after="0")
         for _ in range(20):
-            self.do_send("p", self.word(1000), False)
+            self.do_send("p", self.gossip(1000), False)
             time.sleep(0.1)
         self.assertLess(sum(len(replica.calls) for replica in replicas), 20)
         self.play("""
@@ -331,13 +336,13 @@
         """)
 
     def test_an_older_program_passes_it_over(self) -> None:
-        """A node without the feature, and one whose warm start takes datagrams aside."""
+        """Covers a node without the feature, and one whose warm start handles datagrams of its own."""
         for operator in ("", "[restart]\nwarm_from_peers = true\n"):
             with self.subTest(operator=operator):
                 self.start(self.SETTINGS, operator=operator)
                 for number in (1, 0, 0xFFFFFFFF, 0x00010203):
-                    self.do_send("p", self.word(number), False)
-                self.do_send("p", "00", False)  # the module's own: a sign of life
+                    self.do_send("p", self.gossip(number), False)
+                self.do_send("p", "00", False)  # the decision module's own datagram, a heartbeat
                 time.sleep(0.3)
                 self.play("""
                     c send job a quote
@@ -355,12 +360,12 @@
         self.addCleanup(replica.close)
         text = document({**SETTINGS, **self.SETTINGS}, mostTries=1)
         self.start(self.SETTINGS, operator=section(replica) + "[restart]\nwarm_from_peers = true\n")
-        self.do_expect("p", "^d721", False)  # a question of the warm start
-        self.do_send("p", "d722000000", False)  # and an answer, to another question
+        self.do_expect("p", "^d721", False)  # a query of the warm start
+        self.do_send("p", "d722000000", False)  # and an answer to another query
         replica.push(1, text)
         self.log("configuration 1 by ann")
         self.do_expect("p", "^4300000001", False)
-        self.do_send("p", self.word(1), False)
+        self.do_send("p", self.gossip(1), False)
         self.log("configuration 1 is another one at node 1")
         self.play("""
             node send USR1
@@ -369,7 +374,7 @@
 
 
 class Tier:
-    """Several nodes that hear each other; datagrams may be lost on their way."""
+    """Several node processes; the test forwards the datagrams between them, and drops some."""
 
     def __init__(
         self,
@@ -379,15 +384,15 @@
         lossy: float = 0.0,
         strange: dict[int, dict[str, Any]] | None = None,
     ) -> None:
-        """`operators`: a file for each node; `lossy`: the share of datagrams that are lost; `strange`:
-        permissions that differ at some nodes."""
+        """`operators`: the text of the operator file of each node; `lossy`: the share of datagrams to drop,
+        0 to 1; `strange`: permissions that differ, by node number."""
         self.test, self.count, self.lossy, self.strange = test, count, lossy, strange or {}
         self.folder = tempfile.TemporaryDirectory()
         test.addCleanup(self.folder.cleanup)
         self.random, self.over, self.passed, self.lost = random.Random(3), Event(), 0, 0
-        self.own = [datagrams() for _ in range(count)]
-        self.places = [address(sock) for sock in self.own]
-        # The socket (a, b) stands for node a where node b is: what b sends there goes to a from (b, a).
+        self.node_sockets = [datagrams() for _ in range(count)]
+        self.places = [address(sock) for sock in self.node_sockets]
+        # Node b has the socket (a, b) as the address of node a: what b sends there goes on to a from (b, a).
         self.between = {(a, b): datagrams() for a in range(count) for b in range(count) if a != b}
         self.processes: list[subprocess.Popen[bytes]] = []
         self.discovery = listener()
@@ -420,7 +425,7 @@
             str(folder / f"{number}.json"),
             str(folder / f"{number}.toml"),
         )
-        self.own[number].close()  # the program takes it over
+        self.node_sockets[number].close()  # the node binds the same address
         parent = os.getpid()
 
         def prepare() -> None:
@@ -440,6 +445,7 @@
             )
 
     def carry(self) -> None:
+        """Forwards datagrams until the tier is closed."""
         by_socket = {sock: pair for pair, sock in self.between.items()}
         while not self.over.is_set():
             for sock in select.select(list(by_socket), [], [], 0.1)[0]:
@@ -456,12 +462,16 @@
         return Path(self.folder.name, f"{number}.log").read_text()
 
     def wait(self, text: str, within: float, numbers: list[int] | None = None) -> float:
-        """Until the logs of these nodes hold a text; gives how long it took."""
+        """Waits until the logs of these nodes contain a text; returns the seconds that it took.
+
+        Raises `AssertionError` after `within` seconds; `numbers`: None for all nodes."""
         began = time.monotonic()
-        left = list(range(self.count)) if numbers is None else list(numbers)
-        while left := [n for n in left if text not in self.log(n)]:
+        missing = list(range(self.count)) if numbers is None else list(numbers)
+        while missing := [n for n in missing if text not in self.log(n)]:
             if time.monotonic() > began + within:
-                raise AssertionError(f"{text!r} not within {within} s at {left}: {self.log(left[0])[-900:]}")
+                raise AssertionError(
+                    f"{text!r} not within {within} s at {missing}: {self.log(missing[0])[-900:]}"
+                )
             time.sleep(0.02)
         return time.monotonic() - began
 
@@ -480,19 +490,19 @@
             process.wait()
         if hasattr(self, "carrier"):
             self.carrier.join()
-        for sock in [*self.own, *self.between.values(), self.discovery]:
+        for sock in [*self.node_sockets, *self.between.values(), self.discovery]:
             sock.close()
 
 
 class Several(unittest.TestCase):
     def replicas(self, count: int) -> list[Replica]:
-        made = [Replica() for _ in range(count)]
-        for replica in made:
+        created = [Replica() for _ in range(count)]
+        for replica in created:
             self.addCleanup(replica.close)
-        return made
+        return created
 
     def test_a_change_is_in_force_everywhere_while_half_of_the_datagrams_are_lost(self) -> None:
-        """Two of four nodes reach only a replica that is cut off, and hear of the change from the others."""
+        """Two of four nodes poll a replica that never gets the change, and hear of it by gossip only."""
         good, cut_off = self.replicas(2)
         told = [
             section(good, watch_wait_ms=2500),
@@ -530,7 +540,7 @@
             self.assertEqual(numbers, sorted(numbers))
 
     def test_an_older_program_in_the_tier(self) -> None:
-        """It has no such section: it goes on with what it has, and counts as alive."""
+        """A node without the section keeps its settings, and its peers still count it as alive."""
         (replica,) = self.replicas(1)
         tier = Tier(
             self, 3, [section(replica, gossip_every_ms=200), section(replica, gossip_every_ms=200), ""]
@@ -548,7 +558,7 @@
         self.assertGreater(new["configuration_heard"], 2)
 
 
-class Upgraded(Alone):
+class Upgraded(SingleNode):
     def test_the_successor_of_an_upgrade_begins_with_what_is_in_force(self) -> None:
         (replica,) = self.replicas()
         self.adopts()
@@ -577,7 +587,7 @@
 
 
 class Answers(unittest.TestCase):
-    """Whatever a replica says is an answer or a `BadAnswerError`."""
+    """Any body of a response gives an answer or a `BadAnswerError`."""
 
     GOOD = {"number": 3, "digest": digest("{}"), "author": "ann", "time_ms": 1, "document": "{}"}
 
